--- a/packages/placement/src/control_lease_test.ts
+++ b/packages/placement/src/control_lease_test.ts
@@ -1,7 +1,7 @@
 import { createMemoryStore } from "@rosemarypin/fakes";
 import { storedKeys } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { isLeaseCandidate } from "./candidates.ts";
+import { isLeaseCandidate } from "./control_candidates.ts";
 import { createControlLease } from "./control_lease.ts";
 
 const key = storedKeys.lease("test", "a");
--- a/packages/placement/src/disjoint_chains.ts
+++ b/packages/placement/src/disjoint_chains.ts
@@ -1,25 +1,26 @@
-/** As many chains over all layers as can be had at once. */
+/** Finds a maximum set of disjoint chains of layer ranges. */
 import type { LayerRange } from "@rosemarypin/schemas";
 
-/** Something that leads from one layer to a later one. */
+/** A range of layers, which links its first layer to the one after its last. */
 interface Step {
   readonly layers: LayerRange;
 }
 
 /**
- * The steps of as many disjoint chains from layer 0 to the last as there are;
- * any way to divide them into chains uses all of them. Taken one by one, the
- * fastest chain can use steps of two others and leave neither whole.
+ * Returns the steps of a maximum number of chains from layer 0 to the last that
+ * share no step, found with augmenting paths. Every decomposition into chains
+ * uses all of these steps. Choosing the fastest chain greedily could use steps
+ * of two others and leave neither complete.
  */
-export function stepsOfMostChains<T extends Step>(
+export function findDisjointChainSteps<T extends Step>(
   steps: readonly T[],
   layers: number,
 ): readonly T[] {
   const used = new Set<T>();
   while (true) {
-    const path = findPath(steps, { layers, used });
+    const path = findAugmentingPath(steps, { layers, used });
     if (!path) return [...used];
-    // A step walked backwards is given to the new chain's place in turn.
+    // A used step is traversed backwards to remove it from its chain.
     for (const step of path) {
       if (used.has(step)) used.delete(step);
       else used.add(step);
@@ -27,32 +28,32 @@
   }
 }
 
-/** Unused steps forwards and used ones backwards, from 0 to the last layer. */
-function findPath<T extends Step>(
+/** Path from 0 to `layers` by unused steps forwards and used ones backwards. */
+function findAugmentingPath<T extends Step>(
   steps: readonly T[],
   context: { readonly layers: number; readonly used: ReadonlySet<T> },
 ): readonly T[] | null {
   const { layers, used } = context;
-  const reachedBy = new Map<number, { step: T; from: number } | null>([
+  const predecessors = new Map<number, { step: T; from: number } | null>([
     [0, null],
   ]);
   const queue = [0];
-  for (const at of queue) {
-    if (at === layers) break;
+  for (const position of queue) {
+    if (position === layers) break;
     for (const step of steps) {
       const { from, to } = step.layers;
       const isUsed = used.has(step);
       const next = isUsed ? from : to;
-      if ((isUsed ? to : from) !== at || reachedBy.has(next)) continue;
-      reachedBy.set(next, { step, from: at });
+      if ((isUsed ? to : from) !== position || predecessors.has(next)) continue;
+      predecessors.set(next, { step, from: position });
       queue.push(next);
     }
   }
   const path: T[] = [];
-  let link = reachedBy.get(layers);
-  while (link) {
-    path.push(link.step);
-    link = reachedBy.get(link.from);
+  let predecessor = predecessors.get(layers);
+  while (predecessor) {
+    path.push(predecessor.step);
+    predecessor = predecessors.get(predecessor.from);
   }
   return path.length > 0 ? path : null;
 }
--- a/packages/placement/src/engine_choice.ts
+++ b/packages/placement/src/engine_assignment.ts
@@ -1,53 +1,53 @@
-/** Chooses the engines of groups of kinds, so that little has to move. */
+/** Assigns engines to groups of kinds so that few weights are moved. */
 import type { EngineKind } from "./engine_kinds.ts";
-import type { KindGroup } from "./group_moves.ts";
-import { findHeldPipelines } from "./held_chains.ts";
+import type { KindGroup } from "./group_local_search.ts";
+import { findHeldPipelines } from "./held_pipelines.ts";
 import type { PlanEngine, PlanModel } from "./plan_types.ts";
 
-/** Engines that are to form one pipeline. */
+/** Engines that form one planned pipeline. */
 export interface EngineGroup {
   readonly model: PlanModel;
   readonly engines: readonly PlanEngine[];
 }
 
-/** A whole pipeline that engines of these kinds hold. */
+/** Engines that already hold a whole pipeline of a model. */
 interface HeldGroup {
   readonly model: PlanModel;
   readonly engines: readonly PlanEngine[];
 }
 
 /**
- * Puts engines in the place of kinds. A group gets the engines of a pipeline
- * that is held, if one is of its kinds or of some of them; what is missing
- * comes from engines that hold layers of the model, and then from any.
+ * Replaces kinds by engines. A group reuses the engines of a held pipeline
+ * whose kinds it contains. The other kinds are filled with engines that hold
+ * layers of the model, or else with any engines.
  */
-export function chooseEngines(
+export function assignEngines(
   groups: readonly KindGroup[],
   kinds: readonly EngineKind[],
 ): readonly EngineGroup[] {
-  const left = kinds.map(({ engines }) => [...engines]);
+  const available = kinds.map(({ engines }) => [...engines]);
   const kindOf = new Map(
     kinds.flatMap(({ engines }, kind) =>
       engines.map((engine) => [engine, kind] as const),
     ),
   );
-  const held = listHeld(groups, [...kindOf.keys()]);
-  const begun = groups.map(({ model, kinds: wanted }): PlanEngine[] => {
-    const index = bestFit(held, { model, wanted, kindOf });
+  const held = listHeldGroups(groups, [...kindOf.keys()]);
+  const reused = groups.map(({ model, kinds: wanted }): PlanEngine[] => {
+    const index = findReusable(held, { model, wanted, kindOf });
     return [...(index < 0 ? [] : (held.splice(index, 1)[0]?.engines ?? []))];
   });
-  for (const engine of begun.flat())
-    remove(left[kindOf.get(engine) ?? -1], engine);
+  for (const engine of reused.flat())
+    removeOnce(available[kindOf.get(engine) ?? -1], engine);
   return groups.map(({ model, kinds: wanted }, index) => {
-    const engines = begun[index] ?? [];
+    const engines = reused[index] ?? [];
     const missing = [...wanted];
-    for (const engine of engines) remove(missing, kindOf.get(engine) ?? -1);
-    const added = missing.flatMap((kind) => takeNearest(left[kind], model));
+    for (const engine of engines) removeOnce(missing, kindOf.get(engine) ?? -1);
+    const added = missing.flatMap((kind) => takeEngine(available[kind], model));
     return { model, engines: [...engines, ...added] };
   });
 }
 
-function listHeld(
+function listHeldGroups(
   groups: readonly KindGroup[],
   engines: readonly PlanEngine[],
 ): HeldGroup[] {
@@ -61,8 +61,8 @@
   );
 }
 
-/** The largest held pipeline whose kinds the group has all; -1 if none. */
-function bestFit(
+/** Index of the largest held pipeline whose kinds the group contains, or -1. */
+function findReusable(
   held: readonly HeldGroup[],
   group: {
     readonly model: PlanModel;
@@ -73,9 +73,9 @@
   let best = -1;
   held.forEach(({ model, engines }, index) => {
     if (model !== group.model) return;
-    const rest = [...group.wanted];
+    const remaining = [...group.wanted];
     const fits = engines.every((engine) =>
-      remove(rest, group.kindOf.get(engine) ?? -1),
+      removeOnce(remaining, group.kindOf.get(engine) ?? -1),
     );
     const size = held[best]?.engines.length ?? 0;
     if (fits && engines.length > size) best = index;
@@ -83,7 +83,8 @@
   return best;
 }
 
-function takeNearest(
+/** Takes an engine that holds layers of the model, or else the first one. */
+function takeEngine(
   engines: PlanEngine[] | undefined,
   { model }: PlanModel,
 ): PlanEngine[] {
@@ -94,8 +95,8 @@
   return engines.splice(Math.max(0, index), 1);
 }
 
-/** Removes a value once; returns whether it was there. */
-function remove<T>(values: T[] | undefined, value: T): boolean {
+/** Removes the first occurrence; returns whether there was one. */
+function removeOnce<T>(values: T[] | undefined, value: T): boolean {
   const index = values?.indexOf(value) ?? -1;
   if (index >= 0) values?.splice(index, 1);
   return index >= 0;
--- a/packages/placement/src/engine_controller.ts
+++ b/packages/placement/src/engine_controller.ts
@@ -14,7 +14,7 @@
 import { createLogger } from "@rosemarypin/telemetry";
 import type { ControlLease, HeldLease } from "./control_lease.ts";
 import { orderFencingNumber } from "./fencing_number.ts";
-import { holdsExactly, keepsToNote } from "./held_state.ts";
+import { conformsToNote, holdsExactly } from "./held_state.ts";
 import type { Placer } from "./placer.ts";
 import { createWakeUp } from "./wake_up.ts";
 import { type WantedState, wantedState } from "./wanted_layers.ts";
@@ -150,7 +150,7 @@
     seen: { readonly state: EngineState; readonly record: NoteRecord },
   ): boolean {
     const { state, record } = seen;
-    return placer?.places(engine.id) === true && keepsToNote(state, record);
+    return placer?.places(engine.id) === true && conformsToNote(state, record);
   }
 
   /**
--- a/packages/placement/src/engine_kinds.ts
+++ b/packages/placement/src/engine_kinds.ts
@@ -1,19 +1,15 @@
-/** Engines that are interchangeable, and the times of groups of them. */
+/** Groups equivalent engines by kind, and evaluates groups of kinds. */
 import { type SplitEngine, slowestStageMs } from "./layer_split.ts";
-import {
-  largestLayers,
-  type PlanEngine,
-  type PlanModel,
-} from "./plan_types.ts";
+import { maxLayersOn, type PlanEngine, type PlanModel } from "./plan_types.ts";
 
-/** Engines of one speed, link and memory. */
+/** Engines with the same speed, link and memory. */
 export interface EngineKind {
-  /** The first of them; all are like it. */
+  /** The first of the engines, equivalent to each of them. */
   readonly sample: PlanEngine;
   readonly engines: readonly PlanEngine[];
 }
 
-/** Engines by kind, the fastest first; equal inputs give equal lists. */
+/** Lists engines by kind, the fastest first; equal inputs give equal lists. */
 export function listKinds(
   engines: readonly PlanEngine[],
 ): readonly EngineKind[] {
@@ -37,7 +33,7 @@
   );
 }
 
-/** The engine as the split of one model's layers sees it. */
+/** Returns the engine's parameters for splitting the layers of a model. */
 export function toSplitEngine(
   engine: PlanEngine,
   model: PlanModel,
@@ -46,51 +42,53 @@
     id: engine.id,
     layerMs: engine.layerMs * model.layerCost,
     fixedMs: engine.fixedMs,
-    largestLayers: largestLayers(engine, model),
+    largestLayers: maxLayersOn(engine, model),
   };
 }
 
-/** Facts about groups, by model and kinds in ascending order. */
-export interface GroupTimes {
+/** Evaluates groups, given by their model and kinds in ascending order. */
+export interface GroupEvaluator {
   /** Time of the slowest stage, in milliseconds. */
   slowestMs(model: PlanModel, kinds: readonly number[]): number;
-  /** Share of the layers for which there is memory, from 0 to 1. */
+  /** Fraction of the layers that fits into memory, from 0 to 1. */
   memoryShare(model: PlanModel, kinds: readonly number[]): number;
 }
 
-/** What is known of the groups that begin with some kinds. */
-interface TimeNode {
+/** Trie node of a sequence of kinds, with the cached time of that group. */
+interface TrieNode {
   timeMs: number | null;
-  readonly next: (TimeNode | undefined)[];
+  readonly next: (TrieNode | undefined)[];
 }
 
-/** Times groups, each combination of kinds once. */
-export function createGroupTimes(kinds: readonly EngineKind[]): GroupTimes {
-  const roots = new Map<PlanModel, TimeNode>();
-  const split = new Map<PlanModel, readonly SplitEngine[]>();
+/** Creates an evaluator that computes the time of each group once. */
+export function createGroupEvaluator(
+  kinds: readonly EngineKind[],
+): GroupEvaluator {
+  const roots = new Map<PlanModel, TrieNode>();
+  const splitEngines = new Map<PlanModel, readonly SplitEngine[]>();
 
-  function splitOf(model: PlanModel): readonly SplitEngine[] {
-    const known = split.get(model);
-    if (known) return known;
-    const made = kinds.map(({ sample }) => toSplitEngine(sample, model));
-    split.set(model, made);
-    return made;
+  function splitEnginesOf(model: PlanModel): readonly SplitEngine[] {
+    const cached = splitEngines.get(model);
+    if (cached) return cached;
+    const created = kinds.map(({ sample }) => toSplitEngine(sample, model));
+    splitEngines.set(model, created);
+    return created;
   }
 
   function timeOf(model: PlanModel, group: readonly number[]): number {
-    const all = splitOf(model);
+    const all = splitEnginesOf(model);
     const engines = group.flatMap((kind) => all[kind] ?? []);
     return slowestStageMs(engines, model.layers);
   }
 
   return {
     slowestMs(model, group) {
-      let node = roots.get(model) ?? newNode();
+      let node = roots.get(model) ?? createNode();
       roots.set(model, node);
-      // A search asks for some groups a million times; joined into a text as
-      // the key of a map, the kinds took most of its time.
+      // A search looks up some groups a million times; building string keys
+      // for a map would take most of its time.
       for (const kind of group) {
-        const next = node.next[kind] ?? newNode();
+        const next = node.next[kind] ?? createNode();
         node.next[kind] = next;
         node = next;
       }
@@ -98,16 +96,16 @@
       return node.timeMs;
     },
     memoryShare(model, group) {
-      const all = splitOf(model);
-      const room = group.reduce(
+      const all = splitEnginesOf(model);
+      const capacity = group.reduce(
         (sum, kind) => sum + (all[kind]?.largestLayers ?? 0),
         0,
       );
-      return Math.min(1, room / model.layers);
+      return Math.min(1, capacity / model.layers);
     },
   };
 }
 
-function newNode(): TimeNode {
+function createNode(): TrieNode {
   return { timeMs: null, next: [] };
 }
--- /dev/null
+++ b/packages/placement/src/group_allocation.ts
@@ -0,0 +1,106 @@
+/** Allocates engines to pipelines as the initial solution of local search. */
+import { type EngineKind, toSplitEngine } from "./engine_kinds.ts";
+import type { KindGroup } from "./group_local_search.ts";
+import { layersWithin } from "./layer_split.ts";
+import type { PlanModel } from "./plan_types.ts";
+
+/** The interval that remains is far below the time of one layer. */
+const BISECTION_STEPS = 40;
+
+export interface AllocationOptions {
+  /** The model of each group. */
+  readonly wanted: readonly PlanModel[];
+  /** What limits an engine's layers: a common time limit, or memory alone. */
+  readonly by: "time" | "memory";
+}
+
+/**
+ * Allocates engines greedily, the fastest first: each goes to the group whose
+ * engines cover the smallest fraction of its layers so far.
+ */
+export function allocateEngines(
+  kinds: readonly EngineKind[],
+  { wanted, by }: AllocationOptions,
+): KindGroup[] {
+  const groups = wanted.map((model) => ({ model, kinds: [] as number[] }));
+  if (groups.length === 0) return groups;
+  const layerFraction = createLayerFraction(kinds);
+  const limitMs =
+    by === "time"
+      ? findFeasibleTimeMs(kinds, { wanted, share: layerFraction })
+      : MAX_TIME_MS;
+  const coverage = groups.map(() => 0);
+  kinds.forEach((kind, index) => {
+    for (const _engine of kind.engines) {
+      const leastCovered = indexOfMinimum(coverage);
+      const group = groups[leastCovered];
+      if (!group) continue;
+      group.kinds.push(index);
+      const added = layerFraction(index, { model: group.model, limitMs });
+      coverage[leastCovered] = (coverage[leastCovered] ?? 0) + added;
+    }
+  });
+  return groups;
+}
+
+/** Fraction of a model's layers that an engine can run within a time limit. */
+type LayerFraction = (
+  kind: number,
+  options: { readonly model: PlanModel; readonly limitMs: number },
+) => number;
+
+function createLayerFraction(kinds: readonly EngineKind[]): LayerFraction {
+  return (kind, { model, limitMs }) => {
+    const sample = kinds[kind]?.sample;
+    if (!sample) return 0;
+    return layersWithin(toSplitEngine(sample, model), limitMs) / model.layers;
+  };
+}
+
+/**
+ * Bisects for the smallest time limit at which the layer fractions of all
+ * engines, spread evenly over the models, add up to every group. Returns a
+ * value above `MAX_TIME_MS` if memory is insufficient.
+ */
+function findFeasibleTimeMs(
+  kinds: readonly EngineKind[],
+  options: {
+    readonly wanted: readonly PlanModel[];
+    readonly share: LayerFraction;
+  },
+): number {
+  const { wanted, share } = options;
+  const models = [...new Set(wanted)];
+  const isFeasible = (limitMs: number) => {
+    let totalFraction = 0;
+    kinds.forEach(({ engines }, kind) => {
+      for (const model of models) {
+        const fraction = share(kind, { model, limitMs });
+        totalFraction += (engines.length * fraction) / models.length;
+      }
+    });
+    return totalFraction >= wanted.length;
+  };
+  let low = 0;
+  let high = 1;
+  while (!isFeasible(high)) {
+    high *= 2;
+    // No time limit suffices: the engines lack memory.
+    if (high > MAX_TIME_MS) return high;
+  }
+  for (let step = 0; step < BISECTION_STEPS; step++) {
+    const midpoint = (low + high) / 2;
+    if (isFeasible(midpoint)) high = midpoint;
+    else low = midpoint;
+  }
+  return high;
+}
+
+const MAX_TIME_MS = 1e9;
+
+function indexOfMinimum(values: readonly number[]): number {
+  return values.reduce(
+    (lowest, value, index) => (value < (values[lowest] ?? 0) ? index : lowest),
+    0,
+  );
+}
--- a/packages/placement/src/group_search.ts
+++ b/packages/placement/src/group_search.ts
@@ -1,38 +1,38 @@
 /**
- * Groups engines into pipelines of several models. Engines of one kind are
- * interchangeable, so a group is a list of kinds: a domain of 81 engines has
- * few of them, and equal groups are timed once.
+ * Searches for the best division of engines into pipelines of several models.
+ * Engines of one kind are interchangeable, so a group is a list of kinds: a
+ * domain of 81 engines has few kinds, and equal groups are evaluated once.
  */
 
-import { chooseEngines, type EngineGroup } from "./engine_choice.ts";
-import { createGroupTimes, listKinds } from "./engine_kinds.ts";
-import { dealKinds } from "./group_deal.ts";
-import { improveGroups, type KindGroup } from "./group_moves.ts";
+import { assignEngines, type EngineGroup } from "./engine_assignment.ts";
+import { createGroupEvaluator, listKinds } from "./engine_kinds.ts";
+import { allocateEngines } from "./group_allocation.ts";
+import { improveGroups, type KindGroup } from "./group_local_search.ts";
 import {
   compareScores,
   type ModelRate,
-  NO_RATE,
   type Score,
   scoreRates,
   sumRates,
+  ZERO_RATE,
 } from "./plan_score.ts";
 import type { PlanEngine, PlanModel } from "./plan_types.ts";
 import { createTimeSlice } from "./time_slice.ts";
 
 export interface GroupSearchOptions {
   readonly models: readonly PlanModel[];
-  /** Pipelines that stay as they are, by model. */
+  /** Pipelines outside the search that count towards the score, by model. */
   readonly existing?: ReadonlyMap<string, ModelRate>;
 }
 
-/** Rounds over all pairs of groups in the last search. */
-const PASSES = 30;
-/** With more engines, numbers of pipelines are compared by one round each. */
-const THOROUGH_UP_TO = 16;
-/** Numbers of pipelines that are searched to the end. */
-const FINALISTS = 3;
-/** Models tried for one more pipeline, the least served first. */
-const TRIED_MODELS = 3;
+/** Passes over all pairs of groups when a candidate is refined. */
+const MAX_PASSES = 30;
+/** Larger domains explore with one pass, and from the best start only. */
+const THOROUGH_SEARCH_MAX_ENGINES = 16;
+/** Number of best-scoring candidates that are refined. */
+const FINALIST_COUNT = 3;
+/** Number of least served models that are tried for another pipeline. */
+const MAX_MODELS_TRIED = 3;
 
 interface Candidate {
   /** The model of each group. */
@@ -41,27 +41,31 @@
   readonly score: Score;
 }
 
-/** Finds the groups that score best; engines of no use are left out. */
+/**
+ * Searches heuristically for the groups with the best score. Engines without
+ * a part in a feasible pipeline are left out.
+ */
 export async function searchGroups(
   engines: readonly PlanEngine[],
   options: GroupSearchOptions,
 ): Promise<readonly EngineGroup[]> {
   const { models, existing = new Map<string, ModelRate>() } = options;
   const kinds = listKinds(engines);
-  const times = createGroupTimes(kinds);
+  const evaluator = createGroupEvaluator(kinds);
   const slice = createTimeSlice();
-  const firstPasses = engines.length <= THOROUGH_UP_TO ? PASSES : 1;
+  const explorationPasses =
+    engines.length <= THOROUGH_SEARCH_MAX_ENGINES ? MAX_PASSES : 1;
 
-  function rates(groups: readonly KindGroup[]) {
-    const own = sumRates(
+  function createRateOf(groups: readonly KindGroup[]) {
+    const groupRates = sumRates(
       groups.map(({ model, kinds: members }) => ({
         model: model.model,
-        slowestMs: times.slowestMs(model, members),
+        slowestMs: evaluator.slowestMs(model, members),
       })),
     );
     return (model: string): ModelRate => {
-      const before = existing.get(model) ?? NO_RATE;
-      const added = own.get(model) ?? NO_RATE;
+      const before = existing.get(model) ?? ZERO_RATE;
+      const added = groupRates.get(model) ?? ZERO_RATE;
       return {
         pipelines: before.pipelines + added.pipelines,
         rate: before.rate + added.rate,
@@ -70,103 +74,117 @@
   }
 
   /**
-   * Where memory is nearly all needed, groups dealt by speed can lack some
-   * that single moves do not bring together: a spare would be missed.
+   * Allocates by time and, if a group turns out infeasible, by memory too.
+   * Where nearly all memory is needed, single moves may not repair a group
+   * that lacks some, and a model would lose its redundant pipeline.
    */
-  async function search(
+  async function allocateAndImprove(
     wanted: readonly PlanModel[],
     passes: number,
   ): Promise<Candidate> {
-    const byTime = dealKinds(kinds, { wanted, by: "time" });
-    const found = await improve(byTime, passes);
-    const isWhole = found.groups.every(
-      ({ model, kinds: members }) => times.slowestMs(model, members) < Infinity,
+    const timeBalanced = allocateEngines(kinds, { wanted, by: "time" });
+    const found = await improve(timeBalanced, passes);
+    const areAllFeasible = found.groups.every(
+      ({ model, kinds: members }) =>
+        evaluator.slowestMs(model, members) < Infinity,
     );
-    if (isWhole) return found;
-    const byMemory = dealKinds(kinds, { wanted, by: "memory" });
-    return better(found, await improve(byMemory, passes));
+    if (areAllFeasible) return found;
+    const memoryBalanced = allocateEngines(kinds, { wanted, by: "memory" });
+    return betterCandidate(found, await improve(memoryBalanced, passes));
   }
 
   async function improve(
     start: readonly KindGroup[],
     passes: number,
   ): Promise<Candidate> {
-    const options = { times, existing, passes, slice };
+    const options = { times: evaluator, existing, passes, slice };
     const groups = await improveGroups(start, options);
     const wanted = groups.map(({ model }) => model);
-    return { wanted, groups, score: scoreRates(models, rates(groups)) };
+    return { wanted, groups, score: scoreRates(models, createRateOf(groups)) };
   }
 
-  /** The models to try one more pipeline for. */
-  function neediest(candidate: Candidate): readonly PlanModel[] {
-    const rateOf = rates(candidate.groups);
-    const need = ({ model, weight }: PlanModel) => {
+  /** Models with the fewest pipelines, then the lowest rate by weight. */
+  function leastServedModels(candidate: Candidate): readonly PlanModel[] {
+    const rateOf = createRateOf(candidate.groups);
+    const serviceLevel = ({ model, weight }: PlanModel) => {
       const { pipelines, rate } = rateOf(model);
       return { pipelines: Math.min(pipelines, 2), rate: rate / weight };
     };
     const ordered = [...models].sort((a, b) => {
-      const x = need(a);
-      const y = need(b);
-      return x.pipelines - y.pipelines || x.rate - y.rate;
+      const levelA = serviceLevel(a);
+      const levelB = serviceLevel(b);
+      return levelA.pipelines - levelB.pipelines || levelA.rate - levelB.rate;
     });
-    return ordered.slice(0, TRIED_MODELS);
+    return ordered.slice(0, MAX_MODELS_TRIED);
   }
 
-  /** The best with one more pipeline, or two, of some model. */
-  async function addPipeline(current: Candidate): Promise<Candidate> {
+  /** Returns the best candidate with up to two more pipelines of one model. */
+  async function addPipelines(current: Candidate): Promise<Candidate> {
     let best = current;
-    // Two at once as well: where engines differ much, one more pipeline can
-    // lose and the next one gain.
-    const more = neediest(current).flatMap((model) => [
+    // Where engines differ much, one more pipeline can lower the score and a
+    // second one raise it, so both numbers are tried.
+    const additions = leastServedModels(current).flatMap((model) => [
       [model],
       [model, model],
     ]);
-    for (const added of more) {
+    for (const added of additions) {
       const empty = added.map((model) => ({ model, kinds: [] }));
-      const dealt = await search([...current.wanted, ...added], firstPasses);
-      const grown = await improve([...current.groups, ...empty], firstPasses);
-      best = better(best, better(dealt, grown));
+      const reallocated = await allocateAndImprove(
+        [...current.wanted, ...added],
+        explorationPasses,
+      );
+      const extended = await improve(
+        [...current.groups, ...empty],
+        explorationPasses,
+      );
+      best = betterCandidate(best, betterCandidate(reallocated, extended));
     }
     return best;
   }
 
-  /** Adds pipelines while that gains; every step is a candidate. */
-  async function grow(start: Candidate): Promise<readonly Candidate[]> {
-    const seen = [start];
+  /** Adds pipelines while the score improves; returns every candidate. */
+  async function addPipelinesGreedily(
+    start: Candidate,
+  ): Promise<readonly Candidate[]> {
+    const visited = [start];
     let current = start;
     while (current.wanted.length < engines.length) {
-      const next = await addPipeline(current);
+      const next = await addPipelines(current);
       if (next === current) break;
-      seen.push(next);
+      visited.push(next);
       current = next;
     }
-    return seen;
+    return visited;
   }
 
-  // Begun from nothing alone, the first model served could take the engines
-  // that another one cannot do without.
+  // From an empty start alone, the first model served could take engines that
+  // another model needs.
   const starts: Candidate[] = [];
   for (const wanted of [[], models, [...models, ...models]]) {
-    starts.push(await search(wanted, firstPasses));
+    starts.push(await allocateAndImprove(wanted, explorationPasses));
   }
-  const isSmall = engines.length <= THOROUGH_UP_TO;
-  const seen: Candidate[] = [];
-  for (const start of isSmall ? starts : [starts.reduce(better)]) {
-    seen.push(...(await grow(start)));
+  const isSmall = engines.length <= THOROUGH_SEARCH_MAX_ENGINES;
+  const candidates: Candidate[] = [];
+  for (const start of isSmall ? starts : [starts.reduce(betterCandidate)]) {
+    candidates.push(...(await addPipelinesGreedily(start)));
   }
-  const finalists = seen.sort((a, b) => compareScores(b.score, a.score));
-  const ended: Candidate[] = [];
-  for (const { wanted, groups } of finalists.slice(0, FINALISTS)) {
-    ended.push(await search(wanted, PASSES), await improve(groups, PASSES));
+  const finalists = candidates.sort((a, b) => compareScores(b.score, a.score));
+  const refined: Candidate[] = [];
+  for (const { wanted, groups } of finalists.slice(0, FINALIST_COUNT)) {
+    refined.push(
+      await allocateAndImprove(wanted, MAX_PASSES),
+      await improve(groups, MAX_PASSES),
+    );
   }
-  const best = ended.reduce(better);
-  const whole = best.groups.filter(
-    ({ model, kinds: members }) => times.slowestMs(model, members) < Infinity,
+  const best = refined.reduce(betterCandidate);
+  const feasible = best.groups.filter(
+    ({ model, kinds: members }) =>
+      evaluator.slowestMs(model, members) < Infinity,
   );
-  return chooseEngines(whole, kinds);
+  return assignEngines(feasible, kinds);
 }
 
-/** The first of two that are as good. */
-function better(a: Candidate, b: Candidate): Candidate {
+/** Returns the candidate with the better score, `a` on a tie. */
+function betterCandidate(a: Candidate, b: Candidate): Candidate {
   return compareScores(b.score, a.score) > 0 ? b : a;
 }
--- a/packages/placement/src/group_search_test.ts
+++ b/packages/placement/src/group_search_test.ts
@@ -3,15 +3,15 @@
 import { toSplitEngine } from "./engine_kinds.ts";
 import { searchGroups } from "./group_search.ts";
 import { slowestStageMs } from "./layer_split.ts";
-import { NO_RATE, type Score, scoreRates, sumRates } from "./plan_score.ts";
+import { type Score, scoreRates, sumRates, ZERO_RATE } from "./plan_score.ts";
 import type { PlanEngine, PlanModel } from "./plan_types.ts";
 
 const SEED = 20_261_202;
 const LAYERS = 12;
 
 /**
- * Three kinds of accelerator, on links that differ a hundredfold. A model
- * whose layers take 1 MB each may hold 12, 8 and 6 of them.
+ * Three kinds of accelerator, on links that differ a hundredfold. They can
+ * hold 12, 8 and 6 layers of 1 MB each.
  */
 const kinds = [
   { layerMs: 1, fixedMs: 4.1, memoryMegabytes: 12 },
@@ -54,7 +54,7 @@
   readonly engines: readonly PlanEngine[];
 }[];
 
-/** Every way to divide engines into groups, each of some model or idle. */
+/** Yields all partitions of engines into groups, with all choices of models. */
 function* partitions(
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
@@ -86,10 +86,10 @@
       ),
     })),
   );
-  return scoreRates(models, (model) => rates.get(model) ?? NO_RATE);
+  return scoreRates(models, (model) => rates.get(model) ?? ZERO_RATE);
 }
 
-/** The best score of all partitions. */
+/** Returns the best score of all partitions. */
 function exhaustive(
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
@@ -106,7 +106,7 @@
   return best;
 }
 
-/** Checks answered and spared models, and rates within 2%. */
+/** Expects optimal numbers of models, and rates within 2% of the optimum. */
 async function expectNearBest(
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
@@ -118,12 +118,12 @@
     spared: best.spared,
   });
   const weights = models.reduce((sum, { weight }) => sum + weight, 0);
-  const least = best.welfare + weights * Math.log(0.98);
-  expect(found.welfare).toBeGreaterThanOrEqual(least);
+  const minimumWelfare = best.welfare + weights * Math.log(0.98);
+  expect(found.welfare).toBeGreaterThanOrEqual(minimumWelfare);
 }
 
-describe("searching groups of engines", () => {
-  it("is within 2% of exhaustive search with one model", async () => {
+describe("group search", () => {
+  it("scores within 2% of exhaustive search with one model", async () => {
     await fc.assert(
       fc.asyncProperty(engineList(7), async (engines) => {
         await expectNearBest(engines, [large]);
@@ -132,7 +132,7 @@
     );
   });
 
-  it("is within 2% of exhaustive search with two models", async () => {
+  it("scores within 2% of exhaustive search with two models", async () => {
     await fc.assert(
       fc.asyncProperty(engineList(6), async (engines) => {
         await expectNearBest(engines, [large, small]);
@@ -141,7 +141,7 @@
     );
   });
 
-  it("gives no pipeline when the layers do not fit", async () => {
+  it("returns no group when the layers do not fit into memory", async () => {
     const engine = { id: "only", layerMs: 1, fixedMs: 1, memoryMegabytes: 3 };
     const engines = [{ ...engine, holds: [] }];
     expect(await searchGroups(engines, { models: [large] })).toEqual([]);
--- a/packages/placement/src/held_layers.ts
+++ b/packages/placement/src/held_layers.ts
@@ -1,13 +1,13 @@
-/** Questions about the ranges of layers that engines hold. */
+/** Compares and counts the ranges of layers that engines hold. */
 import type { HeldLayers, LayerRange } from "@rosemarypin/schemas";
 
-/** Layers of `wanted` that no range of its version in `held` has. */
+/** Counts layers of `wanted` that `held` lacks for the same version. */
 export function countMissing(
   wanted: HeldLayers,
   held: readonly HeldLayers[],
 ): number {
   const ranges = held
-    .filter((one) => isSameVersion(one, wanted))
+    .filter((range) => isSameVersion(range, wanted))
     .map(({ layers }) => layers);
   const { from, to } = wanted.layers;
   let missing = 0;
@@ -17,7 +17,7 @@
   return missing;
 }
 
-/** Whether the ranges together lead from layer 0 to the last. */
+/** Whether ranges, joined end to end, lead from layer 0 to the last. */
 export function coversAll(
   ranges: readonly LayerRange[],
   layers: number,
@@ -30,7 +30,7 @@
   return reached.has(layers);
 }
 
-/** Whether both are layers of one version of one model. */
+/** Whether both belong to the same version of the same model. */
 export function isSameVersion(
   a: Omit<HeldLayers, "layers">,
   b: Omit<HeldLayers, "layers">,
@@ -38,7 +38,7 @@
   return a.model === b.model && a.version === b.version;
 }
 
-/** Whether both say the same. */
+/** Whether both are the same layers of the same version. */
 export function isSameRange(a: HeldLayers, b: HeldLayers): boolean {
   return (
     isSameVersion(a, b) &&
@@ -47,7 +47,7 @@
   );
 }
 
-/** Layers that any of the ranges has. */
+/** Counts the distinct layers in the ranges. */
 export function countLayers(held: readonly HeldLayers[]): number {
   const layers = new Set<number>();
   for (const { layers: range } of held) {
--- a/packages/placement/src/kept_pipelines.ts
+++ b/packages/placement/src/held_plan.ts
@@ -1,46 +1,50 @@
-/** Completes what engines hold, so that only what must move moves. */
-import { findHeldPipelines } from "./held_chains.ts";
+/** Plans from the layers that engines hold, so that few weights are moved. */
+import { findHeldPipelines } from "./held_pipelines.ts";
 import { movedMegabytes } from "./moved_weights.ts";
 import { repairPipeline } from "./pipeline_repair.ts";
 import {
   compareScores,
-  NO_RATE,
   type Score,
   scoreRates,
   sumRates,
+  ZERO_RATE,
 } from "./plan_score.ts";
 import type { PlanEngine, PlanModel, PlannedPipeline } from "./plan_types.ts";
 import { planFromScratch } from "./scratch_plan.ts";
 
-export interface KeepOptions {
+export interface PlanFromHeldOptions {
   readonly models: readonly PlanModel[];
-  /** Share by which a repair must be faster to be worth more transfer. */
+  /** Relative speed-up that justifies a repair with more transfer. */
   readonly gainThreshold: number;
 }
 
-/** Pipelines, and the engines that are in none. */
+/** Planned pipelines, and the engines without a stage in any of them. */
 interface Layout {
   readonly pipelines: readonly PlannedPipeline[];
   readonly idle: readonly PlanEngine[];
 }
 
 /**
- * Keeps whole pipelines, repairs broken ones, puts idle engines to use, and
- * gives up a pipeline of a model that has three for one that lacks a spare.
+ * Keeps whole pipelines, repairs incomplete ones and assigns idle engines.
+ * Then drops pipelines of models that have more than two, where their engines
+ * can serve another model or give it a second pipeline.
  */
-export async function keepPipelines(
+export async function planFromHeld(
   engines: readonly PlanEngine[],
-  options: KeepOptions,
+  options: PlanFromHeldOptions,
 ): Promise<readonly PlannedPipeline[]> {
   const { models } = options;
-  let layout = keepWhole(engines, models);
-  layout = repairBroken(layout, options);
-  layout = await useIdle(layout, models);
-  const { pipelines } = await spareMore(layout, { engines, models });
+  let layout = keepHeldPipelines(engines, models);
+  layout = repairPipelines(layout, options);
+  layout = await assignIdleEngines(layout, models);
+  const { pipelines } = await reassignForRedundancy(layout, {
+    engines,
+    models,
+  });
   return pipelines;
 }
 
-function keepWhole(
+function keepHeldPipelines(
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
 ): Layout {
@@ -51,11 +55,11 @@
   );
 }
 
-function repairBroken(start: Layout, options: KeepOptions): Layout {
+function repairPipelines(start: Layout, options: PlanFromHeldOptions): Layout {
   const { models, gainThreshold } = options;
   const rates = sumRates(start.pipelines);
   const count = ({ model }: PlanModel) => rates.get(model)?.pipelines ?? 0;
-  // Idle engines go to models that have few whole pipelines first.
+  // Models with few whole pipelines get idle engines first.
   const ordered = [...models].sort(
     (a, b) => count(a) - count(b) || b.weight - a.weight,
   );
@@ -70,7 +74,7 @@
   return layout;
 }
 
-async function useIdle(
+async function assignIdleEngines(
   layout: Layout,
   models: readonly PlanModel[],
 ): Promise<Layout> {
@@ -79,8 +83,8 @@
   return added.reduce(addPipeline, layout);
 }
 
-/** Gives up pipelines one by one while more models can be answered so. */
-async function spareMore(
+/** Drops pipelines one by one while more models gain a first or second one. */
+async function reassignForRedundancy(
   start: Layout,
   context: {
     readonly engines: readonly PlanEngine[];
@@ -91,7 +95,7 @@
   const byId = new Map(engines.map((engine) => [engine.id, engine]));
   const byName = new Map(models.map((model) => [model.model, model]));
 
-  function movedBy({ pipelines }: Layout): number {
+  function totalMovedMegabytes({ pipelines }: Layout): number {
     return pipelines.reduce((sum, pipeline) => {
       const model = byName.get(pipeline.model);
       if (!model) return sum;
@@ -99,13 +103,15 @@
     }, 0);
   }
 
-  async function withoutOne(layout: Layout, given: PlannedPipeline) {
-    const freed = given.stages.flatMap(({ engine }) => byId.get(engine) ?? []);
-    const rest: Layout = {
-      pipelines: layout.pipelines.filter((pipeline) => pipeline !== given),
+  async function replanWithout(layout: Layout, dropped: PlannedPipeline) {
+    const freed = dropped.stages.flatMap(
+      ({ engine }) => byId.get(engine) ?? [],
+    );
+    const remaining: Layout = {
+      pipelines: layout.pipelines.filter((pipeline) => pipeline !== dropped),
       idle: [...layout.idle, ...freed],
     };
-    return useIdle(rest, models);
+    return assignIdleEngines(remaining, models);
   }
 
   let layout = start;
@@ -113,28 +119,29 @@
     const before = scoreLayout(layout, models);
     if (before.spared === models.length) return layout;
     const rates = sumRates(layout.pipelines);
-    const givers = layout.pipelines.filter(
+    const droppable = layout.pipelines.filter(
       ({ model }) => (rates.get(model)?.pipelines ?? 0) > 2,
     );
-    const ways: Layout[] = [];
-    for (const given of givers) ways.push(await withoutOne(layout, given));
-    const best = ways
+    const alternatives: Layout[] = [];
+    for (const candidate of droppable)
+      alternatives.push(await replanWithout(layout, candidate));
+    const best = alternatives
       .map((way) => ({
         way,
         score: scoreLayout(way, models),
-        moved: movedBy(way),
+        moved: totalMovedMegabytes(way),
       }))
-      .filter(({ score }) => compareAnswered(score, before) > 0)
+      .filter(({ score }) => compareAvailability(score, before) > 0)
       .sort(
-        (x, y) => compareAnswered(y.score, x.score) || x.moved - y.moved,
+        (a, b) => compareAvailability(b.score, a.score) || a.moved - b.moved,
       )[0];
     if (!best) return layout;
     layout = best.way;
   }
 }
 
-/** Compares models answered and spared, whatever their rates. */
-function compareAnswered(a: Score, b: Score): number {
+/** Compares the models with a first and a second pipeline, not their rates. */
+function compareAvailability(a: Score, b: Score): number {
   return compareScores({ ...a, welfare: 0 }, { ...b, welfare: 0 });
 }
 
@@ -143,7 +150,7 @@
   models: readonly PlanModel[],
 ): Score {
   const rates = sumRates(pipelines);
-  return scoreRates(models, (model) => rates.get(model) ?? NO_RATE);
+  return scoreRates(models, (model) => rates.get(model) ?? ZERO_RATE);
 }
 
 function addPipeline(layout: Layout, pipeline: PlannedPipeline): Layout {
--- a/packages/placement/src/held_state.ts
+++ b/packages/placement/src/held_state.ts
@@ -1,26 +1,34 @@
-/** Compares what an engine reports with what it is to hold. */
+/** Compares the reported state of an engine with its wanted state. */
 import type { EngineState, HeldLayers, NoteRecord } from "@rosemarypin/schemas";
 import type { WantedState } from "./wanted_layers.ts";
 
-/** Whether the engine holds all it must, and nothing else runs on it. */
+/** Whether the engine holds exactly what is wanted and runs nothing else. */
 export function holdsExactly(state: EngineState, wanted: WantedState): boolean {
   const sameNote = state.noteNumber === wanted.noteNumber;
-  const sameLayers = isSameSet(
-    state.held.map(nameLayers),
-    wanted.hold.map(nameLayers),
+  const sameLayers = areSetsEqual(
+    state.held.map(layersKey),
+    wanted.hold.map(layersKey),
   );
-  const sameAdapters = isSameSet(
-    state.adapters.map(nameAdapter),
-    wanted.adapters.map(nameAdapter),
+  const sameAdapters = areSetsEqual(
+    state.adapters.map(adapterKey),
+    wanted.adapters.map(adapterKey),
+  );
+  return (
+    sameNote &&
+    sameLayers &&
+    sameAdapters &&
+    !runsUnwantedVersion(state, wanted)
   );
-  return sameNote && sameLayers && sameAdapters && !runsOther(state, wanted);
 }
 
-/** Whether the engine was ordered under the note and has only what it allows. */
-export function keepsToNote(state: EngineState, record: NoteRecord): boolean {
+/** Whether the engine has the note's number and only what the note allows. */
+export function conformsToNote(
+  state: EngineState,
+  record: NoteRecord,
+): boolean {
   const { models } = record.catalogue;
-  const isAllowed = (one: { model: string; version: string }) =>
-    models[one.model]?.versions[one.version] !== undefined;
+  const isAllowed = (entry: { model: string; version: string }) =>
+    models[entry.model]?.versions[entry.version] !== undefined;
   return (
     state.noteNumber === record.number &&
     state.held.every(isAllowed) &&
@@ -31,7 +39,7 @@
   );
 }
 
-function runsOther(state: EngineState, wanted: WantedState): boolean {
+function runsUnwantedVersion(state: EngineState, wanted: WantedState): boolean {
   return state.running.some(
     ({ model, version }) =>
       !wanted.hold.some(
@@ -40,15 +48,15 @@
   );
 }
 
-function nameLayers({ model, version, layers }: HeldLayers): string {
+function layersKey({ model, version, layers }: HeldLayers): string {
   return `${model}/${version}/${layers.from}-${layers.to}`;
 }
 
-function nameAdapter(held: EngineState["adapters"][number]): string {
+function adapterKey(held: EngineState["adapters"][number]): string {
   return `${held.model}/${held.adapter}`;
 }
 
-function isSameSet(a: readonly string[], b: readonly string[]): boolean {
+function areSetsEqual(a: readonly string[], b: readonly string[]): boolean {
   const names = new Set(a);
   return names.size === new Set(b).size && b.every((name) => names.has(name));
 }
--- a/packages/placement/src/layer_split.ts
+++ b/packages/placement/src/layer_split.ts
@@ -1,69 +1,70 @@
 /**
- * Splits a model's layers over mixed accelerators that form one pipeline, so
- * that its slowest stage is as fast as can be.
+ * Splits a model's layers over mixed accelerators that form one pipeline,
+ * minimising the time of its slowest stage.
  */
 import type { SplitStage } from "./plan_types.ts";
 
-/** One engine that may hold a range of layers. */
+/** An engine that can hold a range of layers. */
 export interface SplitEngine {
   readonly id: string;
   /** Time of one layer for a full batch, in milliseconds. */
   readonly layerMs: number;
-  /** Time of a batch whatever its layers, with its link, in milliseconds. */
+  /** Fixed time per batch, link included, in milliseconds. */
   readonly fixedMs: number;
-  /** Layers that its memory can hold. */
+  /** Number of layers that fit into its memory. */
   readonly largestLayers: number;
 }
 
-/** Engines that hold all layers once, in order. */
+/** Stages that together hold each layer once, in order. */
 export interface SplitPipeline {
   readonly stages: readonly SplitStage[];
   /** Time of the slowest stage for a full batch, in milliseconds. */
   readonly slowestMs: number;
 }
 
-/** How many layers an engine can run in `limitMs`. */
+/** Number of layers that an engine can run within `limitMs`. */
 export function layersWithin(engine: SplitEngine, limitMs: number): number {
   const layers = Math.floor(
-    (limitMs - engine.fixedMs) / engine.layerMs + ROUNDING,
+    (limitMs - engine.fixedMs) / engine.layerMs + ROUNDING_TOLERANCE,
   );
   return Math.max(0, Math.min(engine.largestLayers, layers));
 }
 
-/** Keeps a time that was computed from whole layers at those layers. */
-const ROUNDING = 1e-9;
+/** Absorbs floating-point error before a quotient is rounded down. */
+const ROUNDING_TOLERANCE = 1e-9;
 
 /**
- * Least time of the slowest stage if the engines form one pipeline; infinite
- * if they cannot hold the layers. Each layer goes where the stage is then the
- * fastest: the times of an engine grow with its layers, so this takes the
- * smallest times there are, and no split has a smaller largest one.
+ * Returns the minimal time of the slowest stage if the engines form one
+ * pipeline, or `Infinity` if they lack memory. Greedy: each layer is assigned
+ * where the resulting stage time is lowest. Stage times grow with the number
+ * of layers, so this picks the smallest times there are and the largest of
+ * them is minimal.
  */
 export function slowestStageMs(
   engines: readonly SplitEngine[],
   layers: number,
 ): number {
-  const held = engines.map(() => 0);
+  const assigned = engines.map(() => 0);
   let slowestMs = 0;
   for (let layer = 0; layer < layers; layer++) {
-    let fastest = -1;
+    let fastestIndex = -1;
     let fastestMs = Infinity;
     engines.forEach((engine, index) => {
-      const next = (held[index] ?? 0) + 1;
-      if (next > engine.largestLayers) return;
-      const timeMs = engine.fixedMs + next * engine.layerMs;
+      const layerCount = (assigned[index] ?? 0) + 1;
+      if (layerCount > engine.largestLayers) return;
+      const timeMs = engine.fixedMs + layerCount * engine.layerMs;
       if (timeMs >= fastestMs) return;
-      fastest = index;
+      fastestIndex = index;
       fastestMs = timeMs;
     });
-    if (fastest < 0) return Infinity;
-    held[fastest] = (held[fastest] ?? 0) + 1;
+    if (fastestIndex < 0) return Infinity;
+    assigned[fastestIndex] = (assigned[fastestIndex] ?? 0) + 1;
     slowestMs = Math.max(slowestMs, fastestMs);
   }
   return slowestMs;
 }
 
-/** Divides the layers among engines that form one pipeline. */
+/** Splits the layers into contiguous ranges, in the order of the engines. */
 export function splitPipeline(
   engines: readonly SplitEngine[],
   layers: number,
--- a/packages/placement/src/layer_split_test.ts
+++ b/packages/placement/src/layer_split_test.ts
@@ -25,7 +25,7 @@
     }),
   );
 
-/** Least slowest stage by trying every way to divide the layers. */
+/** Minimal time of the slowest stage, by trying every split of the layers. */
 function exhaustiveSlowest(
   engines: readonly SplitEngine[],
   layers: number,
@@ -34,18 +34,18 @@
   if (layers === 0) return 0;
   if (!first) return Infinity;
   let best = Infinity;
-  for (let own = 0; own <= Math.min(layers, first.largestLayers); own++) {
-    const ownMs = own === 0 ? 0 : first.fixedMs + own * first.layerMs;
+  for (let count = 0; count <= Math.min(layers, first.largestLayers); count++) {
+    const countMs = count === 0 ? 0 : first.fixedMs + count * first.layerMs;
     best = Math.min(
       best,
-      Math.max(ownMs, exhaustiveSlowest(rest, layers - own)),
+      Math.max(countMs, exhaustiveSlowest(rest, layers - count)),
     );
   }
   return best;
 }
 
-describe("splitting one pipeline", () => {
-  it("is as good as exhaustive search", () => {
+describe("layer split of one pipeline", () => {
+  it("is as fast as the best split of an exhaustive search", () => {
     fc.assert(
       fc.property(engineList, (engines) => {
         const few = engines.slice(0, 4);
--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,5 +1,5 @@
 /** What each engine holds, and the orders that make it so. */
-export * from "./candidates.ts";
+export * from "./control_candidates.ts";
 export * from "./control_lease.ts";
 export * from "./engine_controller.ts";
 export * from "./engine_kinds.ts";
--- a/packages/placement/src/moved_weights.ts
+++ b/packages/placement/src/moved_weights.ts
@@ -1,7 +1,7 @@
-/** How much a plan asks of the weight store. */
+/** Computes the transfer that a plan needs from the weight store. */
 import type { PlanEngine, PlanModel, PlannedPipeline } from "./plan_types.ts";
 
-/** Megabytes of one version that the stages' engines do not hold yet. */
+/** Megabytes of one version that the stages' engines have to load. */
 export function movedMegabytes(
   pipeline: Pick<PlannedPipeline, "stages">,
   context: {
--- a/packages/placement/src/pipeline_repair.ts
+++ b/packages/placement/src/pipeline_repair.ts
@@ -1,10 +1,10 @@
-/** Makes a pipeline whole again that lost an engine, moving little. */
+/** Completes a pipeline that lost an engine, with little transfer. */
 import { toSplitEngine } from "./engine_kinds.ts";
-import { findHeldPart } from "./held_chains.ts";
+import { findPartialPipeline } from "./held_pipelines.ts";
 import { splitPipeline } from "./layer_split.ts";
 import { movedMegabytes } from "./moved_weights.ts";
 import {
-  largestLayers,
+  maxLayersOn,
   type PlanEngine,
   type PlanModel,
   type PlannedPipeline,
@@ -12,7 +12,7 @@
   stageMs,
 } from "./plan_types.ts";
 
-/** A way to make the pipeline whole. */
+/** A completed pipeline and its transfer in megabytes. */
 interface Repair {
   readonly pipeline: PlannedPipeline;
   readonly moved: number;
@@ -20,33 +20,37 @@
 
 export interface RepairOptions {
   readonly model: PlanModel;
-  /** Share by which a way must be faster to be worth more transfer. */
+  /** Relative speed-up that justifies more transfer. */
   readonly gainThreshold: number;
 }
 
 /**
- * The pipeline that costs least to make from what idle engines hold; `null`
- * if they hold nothing of the model or do not suffice. A way that moves more
- * is taken only if it is faster by the threshold.
+ * Completes a pipeline from the layers that idle engines hold. Chooses the
+ * least transfer unless more transfer makes it faster by the threshold. Returns
+ * `null` if idle engines hold no layers of the model or do not suffice.
  */
 export function repairPipeline(
   idle: readonly PlanEngine[],
   options: RepairOptions,
 ): PlannedPipeline | null {
   const { model, gainThreshold } = options;
-  const part = findHeldPart(idle, model);
-  if (part.length === 0) return null;
+  const heldStages = findPartialPipeline(idle, model);
+  if (heldStages.length === 0) return null;
   const engines = new Map(idle.map((engine) => [engine.id, engine]));
-  const kept = part.flatMap(({ engine }) => engines.get(engine) ?? []);
+  const heldEngines = heldStages.flatMap(
+    ({ engine }) => engines.get(engine) ?? [],
+  );
   const others = idle
-    .filter((engine) => !kept.includes(engine))
+    .filter((engine) => !heldEngines.includes(engine))
     .sort((a, b) => a.layerMs - b.layerMs || (a.id < b.id ? -1 : 1));
-  const ways = [
-    fillGaps(part, { model, engines, others }),
-    splitAmong(kept, model),
-    ...others.map((other) => splitAmong(insert(kept, other, part), model)),
+  const alternatives = [
+    fillGaps(heldStages, { model, engines, others }),
+    splitAmong(heldEngines, model),
+    ...others.map((other) =>
+      splitAmong(insertAtFirstGap(heldEngines, other, heldStages), model),
+    ),
   ];
-  const repairs = ways
+  const repairs = alternatives
     .flatMap((pipeline) => (pipeline ? [pipeline] : []))
     .map((pipeline) => ({
       pipeline,
@@ -62,9 +66,9 @@
   return best?.pipeline ?? null;
 }
 
-/** Keeps every range that is held; other engines take what is missing. */
+/** Keeps all held ranges and assigns the gaps to other engines. */
 function fillGaps(
-  part: readonly SplitStage[],
+  heldStages: readonly SplitStage[],
   context: {
     readonly model: PlanModel;
     readonly engines: ReadonlyMap<string, PlanEngine>;
@@ -74,18 +78,21 @@
   const { model, engines } = context;
   const stages: SplitStage[] = [];
   let others = context.others;
-  let reached = 0;
-  for (const next of [...part, { engine: "", from: model.layers, to: -1 }]) {
-    if (next.from > reached) {
-      const gap = { from: reached, to: next.from };
+  let coveredTo = 0;
+  for (const nextHeld of [
+    ...heldStages,
+    { engine: "", from: model.layers, to: -1 },
+  ]) {
+    if (nextHeld.from > coveredTo) {
+      const gap = { from: coveredTo, to: nextHeld.from };
       const filled = fillGap(gap, { model, others });
       if (!filled) return null;
       stages.push(...filled);
       const used = new Set(filled.map(({ engine }) => engine));
       others = others.filter(({ id }) => !used.has(id));
     }
-    if (next.to > 0) stages.push(next);
-    reached = next.to;
+    if (nextHeld.to > 0) stages.push(nextHeld);
+    coveredTo = nextHeld.to;
   }
   const times = stages.map(({ engine, from, to }) => {
     const found = engines.get(engine);
@@ -94,7 +101,7 @@
   return { model: model.model, stages, slowestMs: Math.max(...times) };
 }
 
-/** One engine for the whole gap, or as many as it takes. */
+/** Assigns a gap to the fastest engine with enough memory, or to several. */
 function fillGap(
   gap: { readonly from: number; readonly to: number },
   context: {
@@ -104,11 +111,11 @@
 ): readonly SplitStage[] | null {
   const { model, others } = context;
   const layers = gap.to - gap.from;
-  const alone = others
-    .filter((engine) => largestLayers(engine, model) >= layers)
+  const fastestSingle = others
+    .filter((engine) => maxLayersOn(engine, model) >= layers)
     .map((engine) => ({ engine, timeMs: stageMs(engine, { model, layers }) }))
     .sort((a, b) => a.timeMs - b.timeMs)[0];
-  if (alone) return [{ engine: alone.engine.id, ...gap }];
+  if (fastestSingle) return [{ engine: fastestSingle.engine.id, ...gap }];
   const split = splitPipeline(
     others.map((engine) => toSplitEngine(engine, model)),
     layers,
@@ -133,18 +140,22 @@
   return { model: model.model, ...split };
 }
 
-/** Puts an engine where the first layer is missing. */
-function insert(
-  kept: readonly PlanEngine[],
-  other: PlanEngine,
-  part: readonly SplitStage[],
+/** Inserts an engine at the first gap, or at the end. */
+function insertAtFirstGap(
+  heldEngines: readonly PlanEngine[],
+  added: PlanEngine,
+  heldStages: readonly SplitStage[],
 ): readonly PlanEngine[] {
-  let reached = 0;
-  const at = part.findIndex(({ from, to }) => {
-    const isGap = from > reached;
-    reached = to;
+  let coveredTo = 0;
+  const index = heldStages.findIndex(({ from, to }) => {
+    const isGap = from > coveredTo;
+    coveredTo = to;
     return isGap;
   });
-  const place = at < 0 ? kept.length : at;
-  return [...kept.slice(0, place), other, ...kept.slice(place)];
+  const insertAt = index < 0 ? heldEngines.length : index;
+  return [
+    ...heldEngines.slice(0, insertAt),
+    added,
+    ...heldEngines.slice(insertAt),
+  ];
 }
--- a/packages/placement/src/placed_models.ts
+++ b/packages/placement/src/placed_models.ts
@@ -7,14 +7,14 @@
   PlacedModelSettings,
   PlacementSettings,
 } from "@rosemarypin/schemas";
-import type { RoomModel } from "./plan_room.ts";
 import type { PlanEngine } from "./plan_types.ts";
+import type { VersionedModel } from "./version_plan.ts";
 
 /** The placed models that the note serves. */
 export function listPlacedModels(
   record: NoteRecord,
   settings: PlacementSettings,
-): readonly RoomModel[] {
+): readonly VersionedModel[] {
   return settings.models.flatMap((placed) => {
     const layers = servedVersions(record, placed.model).map(
       (version) => version.layers,
--- a/packages/placement/src/placed_state.ts
+++ b/packages/placement/src/placed_state.ts
@@ -11,10 +11,10 @@
   isSameRange,
   isSameVersion,
 } from "./held_layers.ts";
-import { memoryOf } from "./held_memory.ts";
+import { requiredMegabytes } from "./held_memory.ts";
 import { placedModelOf, servedVersions } from "./placed_models.ts";
-import type { RoomPlan } from "./plan_room.ts";
 import type { PlannedPipeline } from "./plan_types.ts";
+import type { VersionedPlan } from "./version_plan.ts";
 import type { WantedState } from "./wanted_layers.ts";
 import { wantedVersions } from "./wanted_versions.ts";
 
@@ -30,7 +30,7 @@
 export interface PlacedStateOptions {
   readonly record: NoteRecord;
   readonly settings: PlacementSettings;
-  readonly plan: RoomPlan | null;
+  readonly plan: VersionedPlan | null;
   /** Each engine as it was last read. */
   readonly states: ReadonlyMap<string, EngineState>;
   readonly memoryMegabytes: (engine: string) => number;
@@ -154,7 +154,7 @@
   function fits(engine: string, held: readonly HeldLayers[]): boolean {
     const adaptersOf = (model: string) =>
       record.catalogue.models[model]?.adapters.length ?? 0;
-    const megabytes = memoryOf(held, { settings, adaptersOf });
+    const megabytes = requiredMegabytes(held, { settings, adaptersOf });
     return megabytes <= options.memoryMegabytes(engine);
   }
 
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -15,8 +15,8 @@
 import { createEnginePresence } from "./engine_presence.ts";
 import { listPlacedModels, listPlanEngines } from "./placed_models.ts";
 import { createPlacedState, type PlacedState } from "./placed_state.ts";
-import { forgetPlan, reportPlan } from "./plan_report.ts";
-import { planWithRoom, type RoomPlan } from "./plan_room.ts";
+import { removePlanMetrics, reportPlan } from "./plan_report.ts";
+import { planVersions, type VersionedPlan } from "./version_plan.ts";
 import type { WantedState } from "./wanted_layers.ts";
 
 /** How often the plan is compared with what has changed. */
@@ -52,7 +52,7 @@
   /** Called with engines to be looked at; returns how to stop. */
   onChange(listener: (engines: readonly string[]) => void): () => void;
   /** The plan in use, for tests and status; `null` while there is none. */
-  plan(): RoomPlan | null;
+  plan(): VersionedPlan | null;
   stop(): void;
 }
 
@@ -78,7 +78,7 @@
   const told = new Map<string, string>();
   const states = new Map<string, EngineState>();
   let presence = createEnginePresence(ids);
-  let plan: RoomPlan | null = null;
+  let plan: VersionedPlan | null = null;
   let plannedFor = "";
   let tenure: number | null = null;
   let isPlanning = false;
@@ -96,7 +96,7 @@
   function follow(fencingNumber: number | null): void {
     if (fencingNumber === tenure) return;
     tenure = fencingNumber;
-    forgetPlan({ domain, models: settings.models, metrics });
+    removePlanMetrics({ domain, models: settings.models, metrics });
     states.clear();
     told.clear();
     loads.stop();
@@ -138,7 +138,7 @@
     const usable = engines.filter(({ id }) => live.has(id));
     const { accelerators } = settings;
     isPlanning = true;
-    const made = await planWithRoom(
+    const made = await planVersions(
       listPlanEngines(usable, { accelerators, heldBy }),
       models,
     );
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -1,12 +1,12 @@
-/** Decides which engine of a failure domain holds which layers. */
-import { keepPipelines } from "./kept_pipelines.ts";
+/** Plans which engine of a failure domain holds which layers. */
+import { planFromHeld } from "./held_plan.ts";
 import { movedMegabytes } from "./moved_weights.ts";
 import {
   compareScores,
-  NO_RATE,
   type Score,
   scoreRates,
   sumRates,
+  ZERO_RATE,
 } from "./plan_score.ts";
 import type {
   Plan,
@@ -18,12 +18,12 @@
 import { planFromScratch } from "./scratch_plan.ts";
 
 /**
- * Share by which rates must grow on the middle model before weights are
- * moved for it; its measurement stands in docs/design/007-placement.md.
+ * Minimum relative increase of the weighted geometric mean of the models'
+ * rates that justifies moving weights; see docs/design/007-placement.md.
  */
 export const GAIN_THRESHOLD = 0.1;
 
-/** What a plan is made from; equal inputs give equal plans. */
+/** Input of a plan; equal inputs give equal plans. */
 export interface PlanInput {
   readonly engines: readonly PlanEngine[];
   readonly models: readonly PlanModel[];
@@ -31,19 +31,20 @@
 }
 
 /**
- * Keeps what engines hold and completes it, unless a plan from scratch
- * answers more models, spares more of them, or is faster by the threshold.
+ * Plans the pipelines of a failure domain. Keeps the layers that engines hold
+ * unless a plan from scratch serves more models, gives more of them a second
+ * pipeline, or improves the rates by more than the threshold.
  */
 export async function planDomain(input: PlanInput): Promise<Plan> {
   const { gainThreshold = GAIN_THRESHOLD } = input;
   const engines = [...input.engines].sort((a, b) => (a.id < b.id ? -1 : 1));
   const models = [...input.models].sort((a, b) => (a.model < b.model ? -1 : 1));
-  const kept = await keepPipelines(engines, { models, gainThreshold });
+  const kept = await planFromHeld(engines, { models, gainThreshold });
   const fresh = await planFromScratch(engines, { models });
   const pipelines = isWorthMoving(fresh, { kept, models, gainThreshold })
     ? fresh
     : kept;
-  return describePlan(pipelines, { engines, models });
+  return summarisePlan(pipelines, { engines, models });
 }
 
 function isWorthMoving(
@@ -55,14 +56,17 @@
   },
 ): boolean {
   const { kept, models, gainThreshold } = options;
-  const before = scoreOf(kept, models);
-  const after = scoreOf(fresh, models);
-  if (after.answered !== before.answered || after.spared !== before.spared) {
-    return compareScores(after, before) > 0;
+  const keptScore = scoreOf(kept, models);
+  const freshScore = scoreOf(fresh, models);
+  if (
+    freshScore.answered !== keptScore.answered ||
+    freshScore.spared !== keptScore.spared
+  ) {
+    return compareScores(freshScore, keptScore) > 0;
   }
   const weights = models.reduce((sum, { weight }) => sum + weight, 0);
-  const least = weights * Math.log(1 + gainThreshold);
-  return after.welfare - before.welfare > least;
+  const minimumGain = weights * Math.log(1 + gainThreshold);
+  return freshScore.welfare - keptScore.welfare > minimumGain;
 }
 
 function scoreOf(
@@ -70,18 +74,18 @@
   models: readonly PlanModel[],
 ): Score {
   const rates = sumRates(pipelines);
-  return scoreRates(models, (model) => rates.get(model) ?? NO_RATE);
+  return scoreRates(models, (model) => rates.get(model) ?? ZERO_RATE);
 }
 
-function describePlan(
+function summarisePlan(
   pipelines: readonly PlannedPipeline[],
   context: {
     readonly engines: readonly PlanEngine[];
     readonly models: readonly PlanModel[];
   },
 ): Plan {
-  const engines = new Map(context.engines.map((one) => [one.id, one]));
-  const models = new Map(context.models.map((one) => [one.model, one]));
+  const engines = new Map(context.engines.map((engine) => [engine.id, engine]));
+  const models = new Map(context.models.map((model) => [model.model, model]));
   const rates = sumRates(pipelines);
   const shortages = context.models.flatMap(({ model }): Shortage[] => {
     const count = rates.get(model)?.pipelines ?? 0;
--- a/packages/placement/src/plan_report.ts
+++ b/packages/placement/src/plan_report.ts
@@ -1,21 +1,21 @@
-/** What operators see of a plan: a log line, warnings and a metric. */
+/** Reports a plan to operators: a log line, warnings and a metric. */
 import type { PlacedModelSettings } from "@rosemarypin/schemas";
 import { createLogger, type Metrics } from "@rosemarypin/telemetry";
-import type { RoomPlan } from "./plan_room.ts";
+import type { VersionedPlan } from "./version_plan.ts";
 
 const log = createLogger("placement");
 
-/** Whose plan it is. */
-export interface PlanReport {
+/** The domain and models of a plan, and the metrics to report it to. */
+export interface PlanReportContext {
   readonly domain: string;
   readonly models: readonly PlacedModelSettings[];
   readonly metrics: Metrics | undefined;
 }
 
-/** Tells of a new plan, and of what the engines do not allow. */
+/** Logs a new plan and its shortages, and sets the metric. */
 export function reportPlan(
-  plan: RoomPlan,
-  report: PlanReport & { readonly tookMs: number },
+  plan: VersionedPlan,
+  report: PlanReportContext & { readonly tookMs: number },
 ): void {
   const { domain, models, metrics, tookMs } = report;
   log.info("placement_planned", {
@@ -25,10 +25,12 @@
     took_ms: Math.round(tookMs),
   });
   for (const { model, versionsAtOnce } of models) {
-    const own = plan.pipelines.filter((pipeline) => pipeline.model === model);
-    metrics?.plannedPipelines.set({ domain, model }, own.length);
-    const room = plan.versionsAtOnce.get(model) ?? versionsAtOnce;
-    if (room >= versionsAtOnce) continue;
+    const modelPipelines = plan.pipelines.filter(
+      (pipeline) => pipeline.model === model,
+    );
+    metrics?.plannedPipelines.set({ domain, model }, modelPipelines.length);
+    const plannedVersions = plan.versionsAtOnce.get(model) ?? versionsAtOnce;
+    if (plannedVersions >= versionsAtOnce) continue;
     log.warn("placement_short", { domain, model, kind: "no_room_beside" });
   }
   for (const { model, kind } of plan.shortages) {
@@ -36,8 +38,12 @@
   }
 }
 
-/** Takes the metric back: another instance may plan from now on. */
-export function forgetPlan({ domain, models, metrics }: PlanReport): void {
+/** Removes the metric, because another instance may plan the domain next. */
+export function removePlanMetrics({
+  domain,
+  models,
+  metrics,
+}: PlanReportContext): void {
   for (const { model } of models) {
     metrics?.plannedPipelines.remove(domain, model);
   }
--- a/packages/placement/src/plan_score.ts
+++ b/packages/placement/src/plan_score.ts
@@ -1,31 +1,31 @@
-/** How good a set of pipelines is: what two plans are compared by. */
+/** Objective by which sets of pipelines are compared. */
 import type { PlanModel } from "./plan_types.ts";
 
-/** The pipelines of one model, taken together. */
+/** Totals over the pipelines of one model. */
 export interface ModelRate {
-  /** Pipelines that engines share nothing of. */
+  /** Number of pipelines; no two of them share an engine. */
   readonly pipelines: number;
-  /** Full batches in a millisecond that they finish. */
+  /** Full batches per millisecond that they complete together. */
   readonly rate: number;
 }
 
 /**
- * Compared from the first part to the last: a model that nobody answers
- * weighs more than any rate, and one that a single loss takes away is next.
+ * Compared field by field, in this order: a pipeline for every model outweighs
+ * a second pipeline for any, and both outweigh the rates.
  */
 export interface Score {
-  /** Models with a pipeline. */
+  /** Models with at least one pipeline. */
   readonly answered: number;
-  /** Models with a pipeline left after the loss of any one machine. */
+  /** Models with a pipeline left after the loss of any one engine. */
   readonly spared: number;
   /**
-   * Weighted sum of the logarithms of the answered models' rates: it is
-   * greatest where shares are in proportion to the weights.
+   * Weighted sum of the logarithms of the models' rates (proportional
+   * fairness): greatest where capacity is in proportion to the weights.
    */
   readonly welfare: number;
 }
 
-/** Scores `rateOf` each model. */
+/** Computes the score of these models from their rates. */
 export function scoreRates(
   models: readonly PlanModel[],
   rateOf: (model: string) => ModelRate,
@@ -43,31 +43,31 @@
   return { answered, spared, welfare };
 }
 
-/** Positive if `a` is better than `b`, by more than rounding. */
+/** Positive if `a` is better than `b`, 0 if they differ by rounding only. */
 export function compareScores(a: Score, b: Score): number {
   if (a.answered !== b.answered) return a.answered - b.answered;
   if (a.spared !== b.spared) return a.spared - b.spared;
   const gain = a.welfare - b.welfare;
-  return Math.abs(gain) < ROUNDING ? 0 : gain;
+  return Math.abs(gain) < ROUNDING_TOLERANCE ? 0 : gain;
 }
 
-const ROUNDING = 1e-9;
+const ROUNDING_TOLERANCE = 1e-9;
 
-/** Pipelines and rate of each model. */
+/** Sums pipelines and rates by model, without infeasible pipelines. */
 export function sumRates(
   pipelines: readonly { readonly model: string; readonly slowestMs: number }[],
 ): ReadonlyMap<string, ModelRate> {
   const rates = new Map<string, ModelRate>();
   for (const { model, slowestMs } of pipelines) {
     if (slowestMs === Infinity) continue;
-    const known = rates.get(model) ?? NO_RATE;
+    const current = rates.get(model) ?? ZERO_RATE;
     rates.set(model, {
-      pipelines: known.pipelines + 1,
-      rate: known.rate + 1 / slowestMs,
+      pipelines: current.pipelines + 1,
+      rate: current.rate + 1 / slowestMs,
     });
   }
   return rates;
 }
 
 /** A model without pipelines. */
-export const NO_RATE: ModelRate = { pipelines: 0, rate: 0 };
+export const ZERO_RATE: ModelRate = { pipelines: 0, rate: 0 };
--- a/packages/placement/src/plan_test.ts
+++ b/packages/placement/src/plan_test.ts
@@ -27,7 +27,7 @@
   { layerMs: 2.8, fixedMs: 27, memoryMegabytes: 13 },
 ] as const;
 
-/** Engines of these kinds that hold nothing. */
+/** Creates engines of these kinds that hold no layers. */
 function createEngines(picked: readonly number[]): PlanEngine[] {
   return picked.map((kind, index) => ({
     id: `engine-${index}`,
@@ -36,8 +36,8 @@
   }));
 }
 
-/** The engines after a plan was carried out. */
-function carryOut(engines: readonly PlanEngine[], plan: Plan): PlanEngine[] {
+/** Returns the engines after a plan has been applied. */
+function applyPlan(engines: readonly PlanEngine[], plan: Plan): PlanEngine[] {
   return engines.map((engine) => ({
     ...engine,
     holds: plan.pipelines.flatMap((pipeline) =>
@@ -51,11 +51,14 @@
   }));
 }
 
-function without(engines: readonly PlanEngine[], lost: string): PlanEngine[] {
+function removeEngine(
+  engines: readonly PlanEngine[],
+  lost: string,
+): PlanEngine[] {
   return engines.filter(({ id }) => id !== lost);
 }
 
-function engineOf(plan: Plan): string {
+function firstEngineOf(plan: Plan): string {
   const stage = plan.pipelines[0]?.stages[0];
   if (!stage) throw new Error("the plan has no pipeline");
   return stage.engine;
@@ -69,41 +72,45 @@
   .array(fc.integer({ min: 0, max: 2 }), { minLength: 2, maxLength: 9 })
   .map(createEngines);
 
-describe("a plan", () => {
+describe("placement plan", () => {
   it("holds each layer once, in order, within each engine's memory", async () => {
-    const other = { ...model, model: "drafts", layers: 9, layerMegabytes: 2 };
+    const drafts = { ...model, model: "drafts", layers: 9, layerMegabytes: 2 };
     const property = fc.asyncProperty(engineList, async (engines) => {
-      const models = [model, other];
+      const models = [model, drafts];
       const { pipelines } = await planDomain({ engines, models });
       const used = pipelines.flatMap(({ stages }) =>
         stages.map(({ engine }) => engine),
       );
       expect(new Set(used).size).toBe(used.length);
-      for (const pipeline of pipelines) expectWhole(pipeline, engines, models);
+      for (const pipeline of pipelines)
+        expectValidPipeline(pipeline, engines, models);
     });
     await fc.assert(property, { seed: SEED, numRuns: 60 });
   });
 
-  it("is the same whatever the order of its inputs", async () => {
+  it("does not depend on the order of its inputs", async () => {
     const property = fc.asyncProperty(engineList, async (engines) => {
       const plan = await planDomain({ engines, models: [model] });
       const reversed = [...engines].reverse();
-      const again = await planDomain({ engines: reversed, models: [model] });
-      expect(again).toEqual(plan);
+      const reversedPlan = await planDomain({
+        engines: reversed,
+        models: [model],
+      });
+      expect(reversedPlan).toEqual(plan);
     });
     await fc.assert(property, { seed: SEED, numRuns: 40 });
   });
 
-  it("keeps a spare pipeline, though one alone would be faster", async () => {
-    // Any one machine may die. With all engines in one pipeline, its loss
-    // would leave callers without an answer until weights have been moved.
+  it("keeps a second pipeline even if a single one would be faster", async () => {
+    // Any one engine may fail. With all engines in one pipeline, its loss
+    // would interrupt the model until weights have been moved.
     const engines = createEngines([0, 0, 2, 2, 2]);
     const plan = await planDomain({ engines, models: [model] });
     expect(plan.shortages).toEqual([]);
     expect(plan.pipelines.length).toBeGreaterThan(1);
   });
 
-  it("says when engines do not allow a spare, or any pipeline", async () => {
+  it("reports models without a second pipeline, or without any", async () => {
     const short = await planDomain({
       engines: createEngines([0, 1]),
       models: [model],
@@ -117,34 +124,34 @@
   });
 });
 
-describe("a plan for engines that hold layers", () => {
+describe("placement plan for engines that hold layers", () => {
   it("moves nothing when nothing has changed", async () => {
     const property = fc.asyncProperty(engineList, async (engines) => {
       const input = { engines, models: [model] };
-      const held = carryOut(engines, await planDomain(input));
-      const again = await planDomain({ ...input, engines: held });
-      expect(again.movedMegabytes).toBe(0);
+      const held = applyPlan(engines, await planDomain(input));
+      const replanned = await planDomain({ ...input, engines: held });
+      expect(replanned.movedMegabytes).toBe(0);
     });
     await fc.assert(property, { seed: SEED, numRuns: 40 });
   });
 
-  it("moves only what must move when an engine is lost", async () => {
-    // One machine of ten dies. Planned from scratch, layers would move on
-    // others too, and whole pipelines would stop until weights are there.
+  it("keeps the other pipelines in place when an engine is lost", async () => {
+    // A plan from scratch would also move layers of other engines, and stop
+    // whole pipelines until their weights are loaded.
     const engines = createEngines(Array.from({ length: 10 }, () => 0));
     const plan = await planDomain({ engines, models: [model] });
-    const lost = engineOf(plan);
-    const held = without(carryOut(engines, plan), lost);
+    const lost = firstEngineOf(plan);
+    const held = removeEngine(applyPlan(engines, plan), lost);
     const next = await planDomain({ engines: held, models: [model] });
     expect(next.pipelines).toHaveLength(4);
     expect(next.movedMegabytes).toBe(0);
   });
 
-  it("moves no more than a plan from scratch, and nearly as fast", async () => {
+  it("moves no more than a plan from scratch, and is nearly as fast", async () => {
     const property = fc.asyncProperty(engineList, async (engines) => {
       const plan = await planDomain({ engines, models: [model] });
       if (plan.pipelines.length === 0) return;
-      const held = without(carryOut(engines, plan), engineOf(plan));
+      const held = removeEngine(applyPlan(engines, plan), firstEngineOf(plan));
       const next = await planDomain({ engines: held, models: [model] });
       const empty = held.map((engine) => ({ ...engine, holds: [] }));
       const fresh = await planDomain({ engines: empty, models: [model] });
@@ -157,13 +164,13 @@
     await fc.assert(property, { seed: SEED, numRuns: 60 });
   });
 
-  it("gives a lost engine's layers to one that is idle", async () => {
+  it("assigns a lost engine's layers to an idle engine", async () => {
     const engines = createEngines([0, 0, 0, 0, 1]);
     const plan = await planDomain({ engines, models: [model] });
-    const lost = engineOf(plan);
+    const lost = firstEngineOf(plan);
     const part = plan.pipelines[0]?.stages[0];
     const spare = { ...kinds[0], id: "spare", holds: [] };
-    const held = [...without(carryOut(engines, plan), lost), spare];
+    const held = [...removeEngine(applyPlan(engines, plan), lost), spare];
     const next = await planDomain({ engines: held, models: [model] });
     const layers = (part?.to ?? 0) - (part?.from ?? 0);
     expect(next.movedMegabytes).toBe(layers * model.loadMegabytes);
@@ -171,8 +178,8 @@
   });
 
   it("does not move weights for a small gain", async () => {
-    // A split by an equal number of layers is a little slower than the best.
-    // Moved for a few percent, weights would be on their way most of the time.
+    // The best split is only a few percent faster than this equal split.
+    // With transfers for such gains, weights would be moving most of the time.
     const holds = (from: number, to: number) => [
       { model: "assist", layers: { from, to } },
     ];
@@ -192,15 +199,15 @@
     expect(eager.movedMegabytes).toBeGreaterThan(0);
   });
 
-  it("gives up a third pipeline for a model without a spare", async () => {
-    // A note adds a second model to engines that all serve the first. The
-    // first keeps a spare; everything else of it stays where it is.
+  it("drops a third pipeline for a model without a second one", async () => {
+    // A release note adds a second model while all engines serve the first.
+    // The first keeps two pipelines, and its other layers stay in place.
     const engines = createEngines(Array.from({ length: 8 }, () => 0));
     const plan = await planDomain({ engines, models: [model] });
     expect(plan.pipelines).toHaveLength(4);
     const second = { ...model, model: "drafts" };
     const next = await planDomain({
-      engines: carryOut(engines, plan),
+      engines: applyPlan(engines, plan),
       models: [model, second],
     });
     expect(next.shortages).toEqual([]);
@@ -208,13 +215,14 @@
   });
 });
 
-function expectWhole(
+function expectValidPipeline(
   { model: name, stages }: PlannedPipeline,
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
 ): void {
-  const planned = models.find((one) => one.model === name);
-  if (!planned) throw new Error(`no model ${name}`);
+  const planned = models.find((candidate) => candidate.model === name);
+  if (!planned) throw new Error(`the models do not include "${name}"`);
+
   const covered = stages.flatMap(({ from, to }) =>
     Array.from({ length: to - from }, (_, index) => from + index),
   );
--- a/packages/placement/src/plan_types.ts
+++ b/packages/placement/src/plan_types.ts
@@ -1,4 +1,4 @@
-/** What a plan of one failure domain is made from, and what it says. */
+/** Inputs and result of planning the engines of one failure domain. */
 import type { LayerRange } from "@rosemarypin/schemas";
 
 /** A range of layers that an engine holds of some version of a model. */
@@ -7,27 +7,27 @@
   readonly layers: LayerRange;
 }
 
-/** An engine that may be used. */
+/** An engine that a plan may assign layers to. */
 export interface PlanEngine {
   readonly id: string;
   /** Time that one layer of cost 1 adds to a full batch, in milliseconds. */
   readonly layerMs: number;
-  /** Time of a batch whatever its layers, with its link, in milliseconds. */
+  /** Fixed time per batch, link included, in milliseconds. */
   readonly fixedMs: number;
   readonly memoryMegabytes: number;
-  /** What need not be moved to it. */
+  /** Layers that it holds already and that need no transfer. */
   readonly holds: readonly HeldRange[];
 }
 
-/** A model that the note allows. */
+/** A placed model that the release note serves. */
 export interface PlanModel {
   readonly model: string;
   readonly layers: number;
-  /** Memory of a layer: weights of all versions held at once, and KV. */
+  /** Memory per layer: weights of all versions held at once, and KV cache. */
   readonly layerMegabytes: number;
-  /** Memory that the model takes on an engine whatever its layers. */
+  /** Memory per engine that does not depend on its number of layers. */
   readonly fixedMegabytes: number;
-  /** What the weight store serves for a layer of one version. */
+  /** Transfer from the weight store for one layer of one version. */
   readonly loadMegabytes: number;
   readonly layerCost: number;
   readonly weight: number;
@@ -40,7 +40,7 @@
   readonly to: number;
 }
 
-/** Engines that are to hold all layers of a model once, in order. */
+/** Stages that together hold each layer of a model once, in order. */
 export interface PlannedPipeline {
   readonly model: string;
   readonly stages: readonly SplitStage[];
@@ -48,22 +48,22 @@
   readonly slowestMs: number;
 }
 
-/** What the engines do not allow. */
+/** A model for which the engines do not suffice. */
 export interface Shortage {
   readonly model: string;
-  /** No pipeline at all, or none left after the loss of one machine. */
+  /** No pipeline at all, or none left after the loss of one engine. */
   readonly kind: "no_pipeline" | "no_spare";
 }
 
-/** Who holds which layers, in one failure domain. */
+/** The pipelines planned for one failure domain. */
 export interface Plan {
   readonly pipelines: readonly PlannedPipeline[];
   readonly shortages: readonly Shortage[];
-  /** Weights of one version that engines do not hold yet, in megabytes. */
+  /** Weights of one version that engines have to load, in megabytes. */
   readonly movedMegabytes: number;
 }
 
-/** The time of a stage with so many layers, in milliseconds. */
+/** Time that a stage takes for a full batch, in milliseconds. */
 export function stageMs(
   engine: PlanEngine,
   stage: { readonly model: PlanModel; readonly layers: number },
@@ -72,11 +72,14 @@
   return engine.fixedMs + layers * engine.layerMs * model.layerCost;
 }
 
-/** Layers of the model for which the engine has memory. */
-export function largestLayers(engine: PlanEngine, model: PlanModel): number {
-  const free = engine.memoryMegabytes - model.fixedMegabytes;
-  return Math.max(0, Math.floor(free / model.layerMegabytes + ROUNDING));
+/** Number of layers of the model that fit into the engine's memory. */
+export function maxLayersOn(engine: PlanEngine, model: PlanModel): number {
+  const availableMegabytes = engine.memoryMegabytes - model.fixedMegabytes;
+  return Math.max(
+    0,
+    Math.floor(availableMegabytes / model.layerMegabytes + ROUNDING_TOLERANCE),
+  );
 }
 
-/** Keeps a quotient that was computed from whole layers at those layers. */
-const ROUNDING = 1e-9;
+/** Absorbs floating-point error before a quotient is rounded down. */
+const ROUNDING_TOLERANCE = 1e-9;
--- a/packages/placement/src/time_slice.ts
+++ b/packages/placement/src/time_slice.ts
@@ -1,19 +1,19 @@
-/** Lets a long computation give way to the other work of the process. */
+/** Lets a long computation yield to the event loop. */
 
-/** How long a computation may hold the process up, in milliseconds. */
+/** Time that a computation may run without yielding, in milliseconds. */
 const SLICE_MS = 8;
 
-/** Turns that a computation takes. */
+/** Tracks how long a computation has run since it last yielded. */
 export interface TimeSlice {
-  /** Whether it is time to let others go on. */
+  /** Whether the computation should yield. */
   isSpent(): boolean;
-  /** Resolves when the others had their turn. */
+  /** Yields to the event loop and starts a new slice. */
   giveWay(): Promise<void>;
 }
 
 /**
- * Creates the first slice. A search of a whole domain takes seconds; held up
- * for so long, an instance would send no token and renew no lease.
+ * Starts a time slice. The search over a whole domain takes seconds; without
+ * yielding, the instance would send no tokens and renew no leases meanwhile.
  */
 export function createTimeSlice(): TimeSlice {
   let endsAt = performance.now() + SLICE_MS;
