--- a/packages/placement/src/engine_assignment.ts
+++ b/packages/placement/src/engine_assignment.ts
@@ -32,15 +32,15 @@
     ),
   );
   const held = listHeldGroups(groups, [...kindOf.keys()]);
-  const reused = groups.map(({ model, kinds: wanted }): PlanEngine[] => {
-    const index = findReusable(held, { model, wanted, kindOf });
+  const reused = groups.map(({ model, kinds: groupKinds }): PlanEngine[] => {
+    const index = findReusable(held, { model, groupKinds, kindOf });
     return [...(index < 0 ? [] : (held.splice(index, 1)[0]?.engines ?? []))];
   });
   for (const engine of reused.flat())
     removeOnce(available[kindOf.get(engine) ?? -1], engine);
-  return groups.map(({ model, kinds: wanted }, index) => {
+  return groups.map(({ model, kinds: groupKinds }, index) => {
     const engines = reused[index] ?? [];
-    const missing = [...wanted];
+    const missing = [...groupKinds];
     for (const engine of engines) removeOnce(missing, kindOf.get(engine) ?? -1);
     const added = missing.flatMap((kind) => takeEngine(available[kind], model));
     return { model, engines: [...engines, ...added] };
@@ -66,14 +66,14 @@
   held: readonly HeldGroup[],
   group: {
     readonly model: PlanModel;
-    readonly wanted: readonly number[];
+    readonly groupKinds: readonly number[];
     readonly kindOf: ReadonlyMap<PlanEngine, number>;
   },
 ): number {
   let best = -1;
   held.forEach(({ model, engines }, index) => {
     if (model !== group.model) return;
-    const remaining = [...group.wanted];
+    const remaining = [...group.groupKinds];
     const fits = engines.every((engine) =>
       removeOnce(remaining, group.kindOf.get(engine) ?? -1),
     );
--- a/packages/placement/src/engine_kinds.ts
+++ b/packages/placement/src/engine_kinds.ts
@@ -5,7 +5,7 @@
 /** Engines with the same speed, link and memory. */
 export interface EngineKind {
   /** The first of the engines, equivalent to each of them. */
-  readonly sample: PlanEngine;
+  readonly representative: PlanEngine;
   readonly engines: readonly PlanEngine[];
 }
 
@@ -29,7 +29,7 @@
     kinds.set(key, list);
   }
   return [...kinds.values()].flatMap((list) =>
-    list[0] ? [{ sample: list[0], engines: list }] : [],
+    list[0] ? [{ representative: list[0], engines: list }] : [],
   );
 }
 
@@ -51,7 +51,7 @@
   /** Time of the slowest stage, in milliseconds. */
   slowestMs(model: PlanModel, kinds: readonly number[]): number;
   /** Fraction of the layers that fits into memory, from 0 to 1. */
-  memoryShare(model: PlanModel, kinds: readonly number[]): number;
+  memoryCoverage(model: PlanModel, kinds: readonly number[]): number;
 }
 
 /** Trie node of a sequence of kinds, with the cached time of that group. */
@@ -70,7 +70,9 @@
   function splitEnginesOf(model: PlanModel): readonly SplitEngine[] {
     const cached = splitEngines.get(model);
     if (cached) return cached;
-    const created = kinds.map(({ sample }) => toSplitEngine(sample, model));
+    const created = kinds.map(({ representative }) =>
+      toSplitEngine(representative, model),
+    );
     splitEngines.set(model, created);
     return created;
   }
@@ -95,7 +97,7 @@
       node.timeMs ??= timeOf(model, group);
       return node.timeMs;
     },
-    memoryShare(model, group) {
+    memoryCoverage(model, group) {
       const all = splitEnginesOf(model);
       const capacity = group.reduce(
         (sum, kind) => sum + (all[kind]?.largestLayers ?? 0),
--- a/packages/placement/src/group_allocation.ts
+++ b/packages/placement/src/group_allocation.ts
@@ -9,9 +9,9 @@
 
 export interface AllocationOptions {
   /** The model of each group. */
-  readonly wanted: readonly PlanModel[];
+  readonly groupModels: readonly PlanModel[];
   /** What limits an engine's layers: a common time limit, or memory alone. */
-  readonly by: "time" | "memory";
+  readonly limitedBy: "time" | "memory";
 }
 
 /**
@@ -20,14 +20,14 @@
  */
 export function allocateEngines(
   kinds: readonly EngineKind[],
-  { wanted, by }: AllocationOptions,
+  { groupModels, limitedBy }: AllocationOptions,
 ): KindGroup[] {
-  const groups = wanted.map((model) => ({ model, kinds: [] as number[] }));
+  const groups = groupModels.map((model) => ({ model, kinds: [] as number[] }));
   if (groups.length === 0) return groups;
   const layerFraction = createLayerFraction(kinds);
   const limitMs =
-    by === "time"
-      ? findFeasibleTimeMs(kinds, { wanted, share: layerFraction })
+    limitedBy === "time"
+      ? findFeasibleTimeMs(kinds, { groupModels, layerFraction })
       : MAX_TIME_MS;
   const coverage = groups.map(() => 0);
   kinds.forEach((kind, index) => {
@@ -51,9 +51,11 @@
 
 function createLayerFraction(kinds: readonly EngineKind[]): LayerFraction {
   return (kind, { model, limitMs }) => {
-    const sample = kinds[kind]?.sample;
-    if (!sample) return 0;
-    return layersWithin(toSplitEngine(sample, model), limitMs) / model.layers;
+    const representative = kinds[kind]?.representative;
+    if (!representative) return 0;
+    return (
+      layersWithin(toSplitEngine(representative, model), limitMs) / model.layers
+    );
   };
 }
 
@@ -65,21 +67,21 @@
 function findFeasibleTimeMs(
   kinds: readonly EngineKind[],
   options: {
-    readonly wanted: readonly PlanModel[];
-    readonly share: LayerFraction;
+    readonly groupModels: readonly PlanModel[];
+    readonly layerFraction: LayerFraction;
   },
 ): number {
-  const { wanted, share } = options;
-  const models = [...new Set(wanted)];
+  const { groupModels, layerFraction } = options;
+  const models = [...new Set(groupModels)];
   const isFeasible = (limitMs: number) => {
     let totalFraction = 0;
     kinds.forEach(({ engines }, kind) => {
       for (const model of models) {
-        const fraction = share(kind, { model, limitMs });
+        const fraction = layerFraction(kind, { model, limitMs });
         totalFraction += (engines.length * fraction) / models.length;
       }
     });
-    return totalFraction >= wanted.length;
+    return totalFraction >= groupModels.length;
   };
   let low = 0;
   let high = 1;
--- a/packages/placement/src/group_local_search.ts
+++ b/packages/placement/src/group_local_search.ts
@@ -16,7 +16,7 @@
 }
 
 export interface LocalSearchOptions {
-  readonly times: GroupEvaluator;
+  readonly evaluator: GroupEvaluator;
   /** Pipelines outside the search that count towards the score, by model. */
   readonly existing: ReadonlyMap<string, ModelRate>;
   /** Maximum number of passes over all pairs of groups. */
@@ -42,12 +42,12 @@
   start: readonly KindGroup[],
   options: LocalSearchOptions,
 ): Promise<readonly KindGroup[]> {
-  const { times, existing, slice } = options;
+  const { evaluator, existing, slice } = options;
   const groups = start.map(
     ({ model, kinds }): TimedGroup => ({
       model,
       kinds,
-      timeMs: times.slowestMs(model, kinds),
+      timeMs: evaluator.slowestMs(model, kinds),
     }),
   );
   const rates = new Map<string, ModelRate>(existing);
@@ -88,8 +88,8 @@
   ): boolean {
     const before = [groupA.timeMs, groupB.timeMs] as const;
     const after = [
-      times.slowestMs(groupA.model, first),
-      times.slowestMs(groupB.model, second),
+      evaluator.slowestMs(groupA.model, first),
+      evaluator.slowestMs(groupB.model, second),
     ] as const;
     const areFeasible = before[0] < Infinity && before[1] < Infinity;
     const isSameModel = groupA.model === groupB.model;
@@ -124,19 +124,20 @@
     groupB: TimedGroup,
     { first, second }: Move,
   ): boolean {
-    const { memoryShare } = times;
+    const { memoryCoverage } = evaluator;
     const before =
-      memoryShare(groupA.model, groupA.kinds) +
-      memoryShare(groupB.model, groupB.kinds);
+      memoryCoverage(groupA.model, groupA.kinds) +
+      memoryCoverage(groupB.model, groupB.kinds);
     const after =
-      memoryShare(groupA.model, first) + memoryShare(groupB.model, second);
+      memoryCoverage(groupA.model, first) +
+      memoryCoverage(groupB.model, second);
     return after > before + ROUNDING_TOLERANCE;
   }
 
   for (let pass = 0; pass < options.passes; pass++) {
     let hasImproved = false;
     for (let a = 0; a < groups.length; a++) {
-      if (slice.isSpent()) await slice.giveWay();
+      if (slice.shouldYield()) await slice.yieldToEventLoop();
       for (let b = 0; b < groups.length; b++) {
         const groupA = groups[a];
         const groupB = groups[b];
--- a/packages/placement/src/group_search.ts
+++ b/packages/placement/src/group_search.ts
@@ -36,7 +36,7 @@
 
 interface Candidate {
   /** The model of each group. */
-  readonly wanted: readonly PlanModel[];
+  readonly groupModels: readonly PlanModel[];
   readonly groups: readonly KindGroup[];
   readonly score: Score;
 }
@@ -79,17 +79,23 @@
    * that lacks some, and a model would lose its redundant pipeline.
    */
   async function allocateAndImprove(
-    wanted: readonly PlanModel[],
+    groupModels: readonly PlanModel[],
     passes: number,
   ): Promise<Candidate> {
-    const timeBalanced = allocateEngines(kinds, { wanted, by: "time" });
+    const timeBalanced = allocateEngines(kinds, {
+      groupModels,
+      limitedBy: "time",
+    });
     const found = await improve(timeBalanced, passes);
     const areAllFeasible = found.groups.every(
       ({ model, kinds: members }) =>
         evaluator.slowestMs(model, members) < Infinity,
     );
     if (areAllFeasible) return found;
-    const memoryBalanced = allocateEngines(kinds, { wanted, by: "memory" });
+    const memoryBalanced = allocateEngines(kinds, {
+      groupModels,
+      limitedBy: "memory",
+    });
     return betterCandidate(found, await improve(memoryBalanced, passes));
   }
 
@@ -97,10 +103,14 @@
     start: readonly KindGroup[],
     passes: number,
   ): Promise<Candidate> {
-    const options = { times: evaluator, existing, passes, slice };
+    const options = { evaluator, existing, passes, slice };
     const groups = await improveGroups(start, options);
-    const wanted = groups.map(({ model }) => model);
-    return { wanted, groups, score: scoreRates(models, createRateOf(groups)) };
+    const groupModels = groups.map(({ model }) => model);
+    return {
+      groupModels,
+      groups,
+      score: scoreRates(models, createRateOf(groups)),
+    };
   }
 
   /** Models with the fewest pipelines, then the lowest rate by weight. */
@@ -130,7 +140,7 @@
     for (const added of additions) {
       const empty = added.map((model) => ({ model, kinds: [] }));
       const reallocated = await allocateAndImprove(
-        [...current.wanted, ...added],
+        [...current.groupModels, ...added],
         explorationPasses,
       );
       const extended = await improve(
@@ -148,7 +158,7 @@
   ): Promise<readonly Candidate[]> {
     const visited = [start];
     let current = start;
-    while (current.wanted.length < engines.length) {
+    while (current.groupModels.length < engines.length) {
       const next = await addPipelines(current);
       if (next === current) break;
       visited.push(next);
@@ -160,8 +170,8 @@
   // From an empty start alone, the first model served could take engines that
   // another model needs.
   const starts: Candidate[] = [];
-  for (const wanted of [[], models, [...models, ...models]]) {
-    starts.push(await allocateAndImprove(wanted, explorationPasses));
+  for (const groupModels of [[], models, [...models, ...models]]) {
+    starts.push(await allocateAndImprove(groupModels, explorationPasses));
   }
   const isSmall = engines.length <= THOROUGH_SEARCH_MAX_ENGINES;
   const candidates: Candidate[] = [];
@@ -170,9 +180,9 @@
   }
   const finalists = candidates.sort((a, b) => compareScores(b.score, a.score));
   const refined: Candidate[] = [];
-  for (const { wanted, groups } of finalists.slice(0, FINALIST_COUNT)) {
+  for (const { groupModels, groups } of finalists.slice(0, FINALIST_COUNT)) {
     refined.push(
-      await allocateAndImprove(wanted, MAX_PASSES),
+      await allocateAndImprove(groupModels, MAX_PASSES),
       await improve(groups, MAX_PASSES),
     );
   }
--- a/packages/placement/src/group_search_test.ts
+++ b/packages/placement/src/group_search_test.ts
@@ -94,13 +94,13 @@
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
 ): Score {
-  let best: Score = { answered: 0, spared: 0, welfare: 0 };
+  let best: Score = { answered: 0, redundant: 0, utility: 0 };
   for (const groups of partitions(engines, models)) {
     const next = score(groups, models);
     const isBetter =
       next.answered - best.answered ||
-      next.spared - best.spared ||
-      next.welfare - best.welfare;
+      next.redundant - best.redundant ||
+      next.utility - best.utility;
     if (isBetter > 0) best = next;
   }
   return best;
@@ -115,11 +115,11 @@
   const found = score(await searchGroups(engines, { models }), models);
   expect(found).toMatchObject({
     answered: best.answered,
-    spared: best.spared,
+    redundant: best.redundant,
   });
   const weights = models.reduce((sum, { weight }) => sum + weight, 0);
-  const minimumWelfare = best.welfare + weights * Math.log(0.98);
-  expect(found.welfare).toBeGreaterThanOrEqual(minimumWelfare);
+  const minimumUtility = best.utility + weights * Math.log(0.98);
+  expect(found.utility).toBeGreaterThanOrEqual(minimumUtility);
 }
 
 describe("group search", () => {
--- a/packages/placement/src/held_plan.ts
+++ b/packages/placement/src/held_plan.ts
@@ -117,7 +117,7 @@
   let layout = start;
   while (true) {
     const before = scoreLayout(layout, models);
-    if (before.spared === models.length) return layout;
+    if (before.redundant === models.length) return layout;
     const rates = sumRates(layout.pipelines);
     const droppable = layout.pipelines.filter(
       ({ model }) => (rates.get(model)?.pipelines ?? 0) > 2,
@@ -126,23 +126,25 @@
     for (const candidate of droppable)
       alternatives.push(await replanWithout(layout, candidate));
     const best = alternatives
-      .map((way) => ({
-        way,
-        score: scoreLayout(way, models),
-        moved: totalMovedMegabytes(way),
+      .map((alternative) => ({
+        alternative,
+        score: scoreLayout(alternative, models),
+        movedMegabytes: totalMovedMegabytes(alternative),
       }))
       .filter(({ score }) => compareAvailability(score, before) > 0)
       .sort(
-        (a, b) => compareAvailability(b.score, a.score) || a.moved - b.moved,
+        (a, b) =>
+          compareAvailability(b.score, a.score) ||
+          a.movedMegabytes - b.movedMegabytes,
       )[0];
     if (!best) return layout;
-    layout = best.way;
+    layout = best.alternative;
   }
 }
 
 /** Compares the models with a first and a second pipeline, not their rates. */
 function compareAvailability(a: Score, b: Score): number {
-  return compareScores({ ...a, welfare: 0 }, { ...b, welfare: 0 });
+  return compareScores({ ...a, utility: 0 }, { ...b, utility: 0 });
 }
 
 function scoreLayout(
--- a/packages/placement/src/pipeline_repair.ts
+++ b/packages/placement/src/pipeline_repair.ts
@@ -15,7 +15,7 @@
 /** A completed pipeline and its transfer in megabytes. */
 interface Repair {
   readonly pipeline: PlannedPipeline;
-  readonly moved: number;
+  readonly movedMegabytes: number;
 }
 
 export interface RepairOptions {
@@ -54,9 +54,9 @@
     .flatMap((pipeline) => (pipeline ? [pipeline] : []))
     .map((pipeline) => ({
       pipeline,
-      moved: movedMegabytes(pipeline, { model, engines }),
+      movedMegabytes: movedMegabytes(pipeline, { model, engines }),
     }))
-    .sort((a, b) => a.moved - b.moved);
+    .sort((a, b) => a.movedMegabytes - b.movedMegabytes);
   let best: Repair | null = null;
   for (const repair of repairs) {
     const limitMs = best?.pipeline.slowestMs ?? Infinity;
--- a/packages/placement/src/plan.ts
+++ b/packages/placement/src/plan.ts
@@ -60,13 +60,13 @@
   const freshScore = scoreOf(fresh, models);
   if (
     freshScore.answered !== keptScore.answered ||
-    freshScore.spared !== keptScore.spared
+    freshScore.redundant !== keptScore.redundant
   ) {
     return compareScores(freshScore, keptScore) > 0;
   }
   const weights = models.reduce((sum, { weight }) => sum + weight, 0);
   const minimumGain = weights * Math.log(1 + gainThreshold);
-  return freshScore.welfare - keptScore.welfare > minimumGain;
+  return freshScore.utility - keptScore.utility > minimumGain;
 }
 
 function scoreOf(
--- a/packages/placement/src/plan_score.ts
+++ b/packages/placement/src/plan_score.ts
@@ -17,12 +17,12 @@
   /** Models with at least one pipeline. */
   readonly answered: number;
   /** Models with a pipeline left after the loss of any one engine. */
-  readonly spared: number;
+  readonly redundant: number;
   /**
    * Weighted sum of the logarithms of the models' rates (proportional
    * fairness): greatest where capacity is in proportion to the weights.
    */
-  readonly welfare: number;
+  readonly utility: number;
 }
 
 /** Computes the score of these models from their rates. */
@@ -31,23 +31,23 @@
   rateOf: (model: string) => ModelRate,
 ): Score {
   let answered = 0;
-  let spared = 0;
-  let welfare = 0;
+  let redundant = 0;
+  let utility = 0;
   for (const { model, weight } of models) {
     const { pipelines, rate } = rateOf(model);
     if (pipelines === 0) continue;
     answered += 1;
-    if (pipelines > 1) spared += 1;
-    welfare += weight * Math.log(rate);
+    if (pipelines > 1) redundant += 1;
+    utility += weight * Math.log(rate);
   }
-  return { answered, spared, welfare };
+  return { answered, redundant, utility };
 }
 
 /** Positive if `a` is better than `b`, 0 if they differ by rounding only. */
 export function compareScores(a: Score, b: Score): number {
   if (a.answered !== b.answered) return a.answered - b.answered;
-  if (a.spared !== b.spared) return a.spared - b.spared;
-  const gain = a.welfare - b.welfare;
+  if (a.redundant !== b.redundant) return a.redundant - b.redundant;
+  const gain = a.utility - b.utility;
   return Math.abs(gain) < ROUNDING_TOLERANCE ? 0 : gain;
 }
 
--- a/packages/placement/src/time_slice.ts
+++ b/packages/placement/src/time_slice.ts
@@ -6,9 +6,9 @@
 /** Tracks how long a computation has run since it last yielded. */
 export interface TimeSlice {
   /** Whether the computation should yield. */
-  isSpent(): boolean;
+  shouldYield(): boolean;
   /** Yields to the event loop and starts a new slice. */
-  giveWay(): Promise<void>;
+  yieldToEventLoop(): Promise<void>;
 }
 
 /**
@@ -18,8 +18,8 @@
 export function createTimeSlice(): TimeSlice {
   let endsAt = performance.now() + SLICE_MS;
   return {
-    isSpent: () => performance.now() >= endsAt,
-    async giveWay() {
+    shouldYield: () => performance.now() >= endsAt,
+    async yieldToEventLoop() {
       await new Promise<void>((resolve) => setImmediate(resolve));
       endsAt = performance.now() + SLICE_MS;
     },
