--- a/packages/pipelines/src/gap_filling.ts
+++ b/packages/pipelines/src/gap_filling.ts
@@ -28,11 +28,11 @@
   servedElsewhere: readonly number[],
 ): boolean {
   if (assignIdleEngine(draft, gap)) return true;
-  if (extendNeighbours(draft, gap, { mayGiveUp: false })) return true;
+  if (extendNeighbours(draft, gap, { mayRelease: false })) return true;
   const redundant = findRedundantEngine(draft);
   if (redundant && assignUpToTarget(draft, redundant, gap)) return true;
   if (layersOf(gap).every((layer) => servedElsewhere[layer])) return false;
-  if (extendNeighbours(draft, gap, { mayGiveUp: true })) return true;
+  if (extendNeighbours(draft, gap, { mayRelease: true })) return true;
   shiftCapacityTowards(draft, gap);
   return false;
 }
@@ -43,12 +43,12 @@
  * gap, which shortens the time to load it.
  */
 function assignIdleEngine(draft: PlanDraft, gap: LayerRange): boolean {
-  const idle = draft.free();
+  const idle = draft.idleEngines();
   const isSplit = idle.length > SPLIT_ABOVE_IDLE_ENGINES && layersIn(gap) > 1;
   const wantedLayers = isSplit ? Math.ceil(layersIn(gap) / 2) : layersIn(gap);
   const bySize = [...idle].sort((a, b) => a.memoryMb - b.memoryMb);
   const sufficient = bySize.find(
-    (candidate) => draft.usualLayers(candidate) >= wantedLayers,
+    (candidate) => draft.targetLayers(candidate) >= wantedLayers,
   );
   const engine = sufficient ?? bySize.at(-1);
   if (!engine) return false;
@@ -68,9 +68,9 @@
   engine: PlannedEngine,
   gap: LayerRange,
 ): boolean {
-  const layers = Math.min(draft.usualLayers(engine), layersIn(gap));
+  const layers = Math.min(draft.targetLayers(engine), layersIn(gap));
   if (layers === 0) return false;
-  draft.give(engine, { from: gap.from, to: gap.from + layers });
+  draft.assign(engine, { from: gap.from, to: gap.from + layers });
   return true;
 }
 
@@ -83,32 +83,32 @@
 function extendNeighbours(
   draft: PlanDraft,
   gap: LayerRange,
-  { mayGiveUp }: { readonly mayGiveUp: boolean },
+  { mayRelease }: { readonly mayRelease: boolean },
 ): boolean {
   const neighbourBefore = findNeighbour(({ to }) => to === gap.from, true);
   const neighbourAfter = findNeighbour(({ from }) => from === gap.to, false);
   let { from, to } = gap;
   while (from < to) {
     const capacityBefore = neighbourBefore
-      ? draft.roomWith(neighbourBefore, from - gap.from + 1)
+      ? draft.capacityWith(neighbourBefore, from - gap.from + 1)
       : -1;
     const capacityAfter = neighbourAfter
-      ? draft.roomWith(neighbourAfter, gap.to - to + 1)
+      ? draft.capacityWith(neighbourAfter, gap.to - to + 1)
       : -1;
-    if (Math.max(capacityBefore, capacityAfter) < draft.tightTokens) break;
+    if (Math.max(capacityBefore, capacityAfter) < draft.minKvTokens) break;
     if (capacityBefore >= capacityAfter) from += 1;
     else to -= 1;
   }
   if (neighbourBefore && from > gap.from) {
-    draft.give(
+    draft.assign(
       neighbourBefore.engine,
-      extendRange(neighbourBefore.kept, from - gap.from, true),
+      extendRange(neighbourBefore.retained, from - gap.from, true),
     );
   }
   if (neighbourAfter && to < gap.to) {
-    draft.give(
+    draft.assign(
       neighbourAfter.engine,
-      extendRange(neighbourAfter.kept, gap.to - to, false),
+      extendRange(neighbourAfter.retained, gap.to - to, false),
     );
   }
   return from > gap.from || to < gap.to;
@@ -120,14 +120,14 @@
     const choices = draft.group.flatMap((engine) => {
       const range = draft.held(engine);
       if (!range || !engine.orderable || !isAdjacent(range)) return [];
-      const kept =
-        mayGiveUp && !draft.isOrdered(engine)
+      const retained =
+        mayRelease && !draft.hasOrder(engine)
           ? withoutRedundantLayers(draft, engine, range, isBefore)
           : range;
-      return [{ engine, kept }];
+      return [{ engine, retained }];
     });
     return choices.sort(
-      (a, b) => draft.roomWith(b, 1) - draft.roomWith(a, 1),
+      (a, b) => draft.capacityWith(b, 1) - draft.capacityWith(a, 1),
     )[0];
   }
 }
@@ -161,28 +161,30 @@
 function shiftCapacityTowards(draft: PlanDraft, gap: LayerRange): void {
   const choices = draft.group.flatMap((engine) => {
     const range = draft.held(engine);
-    if (!range || !engine.orderable || draft.isOrdered(engine)) return [];
+    if (!range || !engine.orderable || draft.hasOrder(engine)) return [];
     const isBefore = range.to <= gap.from;
     if (!isBefore && range.from < gap.to) return [];
     const distance = isBefore ? gap.from - range.to : range.from - gap.to;
-    const kept = withoutRedundantLayers(draft, engine, range, isBefore);
-    const unusedLayers = maxLayers(draft, engine) - layersIn(kept);
-    const more = Math.min(unusedLayers, layersIn(gap), distance);
-    return more > 0 ? [{ engine, kept, isBefore, more, distance }] : [];
+    const retained = withoutRedundantLayers(draft, engine, range, isBefore);
+    const unusedLayers = maxLayers(draft, engine) - layersIn(retained);
+    const addedLayers = Math.min(unusedLayers, layersIn(gap), distance);
+    return addedLayers > 0
+      ? [{ engine, retained, isBefore, addedLayers, distance }]
+      : [];
   });
   let missing = layersIn(gap);
   for (const choice of choices.sort((a, b) => a.distance - b.distance)) {
     if (missing <= 0) break;
-    missing -= choice.more;
-    draft.give(
+    missing -= choice.addedLayers;
+    draft.assign(
       choice.engine,
-      extendRange(choice.kept, choice.more, choice.isBefore),
+      extendRange(choice.retained, choice.addedLayers, choice.isBefore),
     );
   }
 }
 
 function maxLayers(
-  { model, tightTokens: tokens }: PlanDraft,
+  { model, minKvTokens: tokens }: PlanDraft,
   { memoryMb }: PlannedEngine,
 ): number {
   return maxLayersWithCapacity(model, { memoryMb, tokens });
@@ -196,7 +198,7 @@
   return draft.group
     .filter((engine) => {
       const range = draft.held(engine);
-      if (!engine.orderable || !range || draft.isOrdered(engine)) return false;
+      if (!engine.orderable || !range || draft.hasOrder(engine)) return false;
       return layersOf(range).every((layer) =>
         draft.isServedByOthers(engine, layer),
       );
--- a/packages/pipelines/src/group_plan.ts
+++ b/packages/pipelines/src/group_plan.ts
@@ -49,19 +49,24 @@
 function lowestCapacityFirst(draft: PlanDraft): readonly PlannedEngine[] {
   return draft.group
     .flatMap((engine) => {
-      const kept = draft.held(engine);
-      return kept
-        ? [{ engine, room: draft.roomWith({ engine, kept }, 0) }]
+      const retained = draft.held(engine);
+      return retained
+        ? [
+            {
+              engine,
+              capacity: draft.capacityWith({ engine, retained }, 0),
+            },
+          ]
         : [];
     })
-    .sort((a, b) => a.room - b.room)
+    .sort((a, b) => a.capacity - b.capacity)
     .map(({ engine }) => engine);
 }
 
 function fillGaps(draft: PlanDraft, servedElsewhere: readonly number[]): void {
   const skipped = new Set<number>();
   for (;;) {
-    const gap = firstGap(draft.coverage(), skipped);
+    const gap = firstGap(draft.holderCounts(), skipped);
     if (!gap) return;
     if (!fillGap(draft, gap, servedElsewhere)) skipped.add(gap.from);
   }
@@ -73,18 +78,18 @@
  * interrupts the answers of only one.
  */
 function layOutPipelines(draft: PlanDraft): void {
-  const { group, model, tightTokens } = draft;
+  const { group, model, minKvTokens } = draft;
   for (;;) {
-    const free = draft.free();
-    const layout = chooseLayout(free, model, {
-      mostEngines: free.length - reserveCount(group),
-      leastTokens: tightTokens,
-      mostTokens: tokensForAnswers(model, model.mostAnswers),
+    const idle = draft.idleEngines();
+    const layout = chooseLayout(idle, model, {
+      maxEngines: idle.length - reserveCount(group),
+      minKvTokens,
+      maxKvTokens: tokensForAnswers(model, model.mostAnswers),
     });
     if (!layout) return;
     let from = 0;
     for (const { engine, layers } of layout.parts) {
-      draft.give(engine, { from, to: from + layers });
+      draft.assign(engine, { from, to: from + layers });
       from += layers;
     }
   }
--- a/packages/pipelines/src/group_sizing.ts
+++ b/packages/pipelines/src/group_sizing.ts
@@ -45,9 +45,9 @@
   model: ModelShape,
 ): number {
   const layout = chooseLayout(group, model, {
-    mostEngines: group.length - reserveCount(group),
-    leastTokens: minCapacityTokens(model),
-    mostTokens: tokensForAnswers(model, model.mostAnswers),
+    maxEngines: group.length - reserveCount(group),
+    minKvTokens: minCapacityTokens(model),
+    maxKvTokens: tokensForAnswers(model, model.mostAnswers),
   });
   return layout?.tokens ?? minCapacityTokens(model);
 }
--- a/packages/pipelines/src/layer_layout.ts
+++ b/packages/pipelines/src/layer_layout.ts
@@ -27,24 +27,24 @@
   engines: readonly Engine[],
   model: ModelShape,
   bounds: {
-    readonly mostEngines: number;
-    readonly leastTokens: number;
-    readonly mostTokens: number;
+    readonly maxEngines: number;
+    readonly minKvTokens: number;
+    readonly maxKvTokens: number;
   },
 ): LayerLayout<Engine> | null {
   let bestLayout: LayerLayout<Engine> | null = null;
   for (const tokens of capacityChoices(engines, model)) {
-    if (tokens < bounds.leastTokens) continue;
+    if (tokens < bounds.minKvTokens) continue;
     const layout = fastestLayout(engines, model, {
-      tokens: Math.min(tokens, bounds.mostTokens),
-      mostEngines: bounds.mostEngines,
+      tokens: Math.min(tokens, bounds.maxKvTokens),
+      maxEngines: bounds.maxEngines,
     });
     if (
       layout &&
       (!bestLayout || powerMetric(layout) > powerMetric(bestLayout))
     )
       bestLayout = layout;
-    if (tokens >= bounds.mostTokens) break;
+    if (tokens >= bounds.maxKvTokens) break;
   }
   return bestLayout;
 }
@@ -84,8 +84,8 @@
   model: ModelShape,
   {
     tokens,
-    mostEngines,
-  }: { readonly tokens: number; readonly mostEngines: number },
+    maxEngines,
+  }: { readonly tokens: number; readonly maxEngines: number },
 ): LayerLayout<Engine> | null {
   const ranked = engines
     .map((engine) => {
@@ -96,7 +96,7 @@
     })
     .filter(({ layers }) => layers > 0)
     .sort((a, b) => a.ms - b.ms || (a.engine.id < b.engine.id ? -1 : 1))
-    .slice(0, mostEngines);
+    .slice(0, maxEngines);
   let missing = model.layerCount;
   let tokenMs = 0;
   const parts: LayoutPart<Engine>[] = [];
--- a/packages/pipelines/src/layer_layout_test.ts
+++ b/packages/pipelines/src/layer_layout_test.ts
@@ -32,7 +32,7 @@
   );
 }
 
-const bounds = { mostEngines: 100, leastTokens: 12_000, mostTokens: 132_000 };
+const bounds = { maxEngines: 100, minKvTokens: 12_000, maxKvTokens: 132_000 };
 
 function describeLayout({ parts, tokens, tokenMs }: LayerLayout) {
   return {
@@ -63,7 +63,7 @@
 
   it("uses at most the maximum number of engines", () => {
     const engines = fleet({ large: 1, fast: 6, slow: 6 });
-    const few = chooseLayout(engines, model, { ...bounds, mostEngines: 9 });
+    const few = chooseLayout(engines, model, { ...bounds, maxEngines: 9 });
     expect(few?.parts.length).toBeLessThanOrEqual(9);
   });
 
--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -205,7 +205,7 @@
     // engine that serves these layers must not release them to fill the gap.
     const placed = apply(fleet({ medium: 1, small: 8, tiny: 3 }));
     const [first, ...others] = placed;
-    if (!first?.held) throw new Error("the first engine holds nothing");
+    if (!first?.held) throw new Error("the first engine has no layers");
     const joining = createEngine("medium-9", "medium", {
       held: first.held,
       orderable: false,
@@ -222,7 +222,7 @@
   it("loads only the missing layers when an engine is lost", () => {
     const placed = apply(fleet({ medium: 1, small: 8, tiny: 3 }));
     const lost = placed.find(({ id, held }) => id.startsWith("tiny") && held);
-    if (!lost?.held) throw new Error("no tiny engine holds anything");
+    if (!lost?.held) throw new Error("no tiny engine has layers");
     const remaining = placed.filter((engine) => engine !== lost);
     const orders = planLayers(remaining, model);
     const loaded = orders.reduce(
--- a/packages/pipelines/src/pipeline_path.ts
+++ b/packages/pipelines/src/pipeline_path.ts
@@ -86,7 +86,7 @@
   function search(entries: EntryWindows): void {
     const found = searchPath(candidates, options, {
       entries,
-      whole: wholeRangeOnly,
+      wholeRangeOnly,
     });
     if (found) pendingResults.push({ found, entries });
   }
@@ -156,7 +156,7 @@
 interface SearchBounds {
   readonly entries: EntryWindows;
   /** Engines that a path may leave only at the end of their range. */
-  readonly whole: ReadonlySet<string>;
+  readonly wholeRangeOnly: ReadonlySet<string>;
 }
 
 /**
@@ -183,7 +183,7 @@
   function relaxFrom(at: number, domain: number): void {
     const state = table.stateOf(at, domain);
     const cost = table.costOf(state);
-    if (cost === Number.POSITIVE_INFINITY || table.isLongest(state)) return;
+    if (cost === Number.POSITIVE_INFINITY || table.hasMaxStages(state)) return;
     for (const option of byLayer[at] ?? []) {
       if (at < option.window.from || at >= option.window.to) continue;
       const crosses = option.domain !== domain;
@@ -193,7 +193,7 @@
       for (const to of option.ends) {
         if (to <= at) continue;
         const costAtEnd = costAfterEntry + option.layerMs * (to - at);
-        table.offer(to, { option, cost: costAtEnd, previous: state });
+        table.relax(to, { option, cost: costAtEnd, previous: state });
       }
     }
   }
@@ -256,9 +256,9 @@
     stateOf,
     costOf,
     /** Whether the path to the state has the maximum number of stages. */
-    isLongest: (state: number) => stageCounts[state] === MAX_STAGES,
+    hasMaxStages: (state: number) => stageCounts[state] === MAX_STAGES,
     /** Relaxes an edge: records the step if it is the cheapest to its state. */
-    offer(
+    relax(
       to: number,
       step: {
         readonly option: StageOption;
@@ -303,7 +303,7 @@
     const ends: number[] = [];
     for (let to = held.from + 1; to < lastEnd; to += 1) {
       // At other layers the next engine would be entered within its range.
-      if (starts.has(to) && !bounds.whole.has(id)) ends.push(to);
+      if (starts.has(to) && !bounds.wholeRangeOnly.has(id)) ends.push(to);
     }
     ends.push(lastEnd);
     const option: StageOption = {
--- a/packages/pipelines/src/pipeline_path_test.ts
+++ b/packages/pipelines/src/pipeline_path_test.ts
@@ -210,7 +210,7 @@
       maxRatio = Math.max(maxRatio, ratio);
     }
     console.log(
-      `seed=${EXHAUSTIVE_SEED} compared=${compared} dearer=${costlier} worst=${maxRatio.toFixed(3)}`,
+      `seed=${EXHAUSTIVE_SEED} compared=${compared} costlier=${costlier} worst=${maxRatio.toFixed(3)}`,
     );
     expect(compared).toBeGreaterThan(500);
     expect(maxRatio).toBeLessThanOrEqual(1.02);
--- a/packages/pipelines/src/plan_draft.ts
+++ b/packages/pipelines/src/plan_draft.ts
@@ -27,7 +27,7 @@
 export interface Neighbour {
   readonly engine: PlannedEngine;
   /** Layers of the engine's current range that it retains. */
-  readonly kept: LayerRange;
+  readonly retained: LayerRange;
 }
 
 /** A plan that starts from the current layers and collects orders. */
@@ -37,29 +37,29 @@
   /** Target KV cache capacity of an engine, in tokens. */
   readonly tokens: number;
   /** Minimum KV cache capacity of an engine, in tokens. */
-  readonly tightTokens: number;
+  readonly minKvTokens: number;
   /** Engines without layers that accept orders, the fastest first. */
-  free(): readonly PlannedEngine[];
+  idleEngines(): readonly PlannedEngine[];
   /** Layers of an engine in this draft. */
   held(engine: PlannedEngine): LayerRange | undefined;
   /** Layers of each engine in this draft, without engines that have none. */
   ranges(): readonly LayerRange[];
   /** Whether the draft contains an order to the engine. */
-  isOrdered(engine: PlannedEngine): boolean;
+  hasOrder(engine: PlannedEngine): boolean;
   /** Replaces the layers of an engine and adds an order for this. */
-  give(engine: PlannedEngine, range: LayerRange): void;
+  assign(engine: PlannedEngine, range: LayerRange): void;
   orders(): LayerOrder[];
   /** Number of layers that fit beside the target KV cache capacity. */
-  usualLayers(engine: PlannedEngine): number;
+  targetLayers(engine: PlannedEngine): number;
   /** Number of engines that hold each layer. */
-  coverage(): number[];
+  holderCounts(): number[];
   /** Total KV cache capacity of the engines with each layer, in tokens. */
-  roomByLayer(): number[];
+  capacityByLayer(): number[];
   /**
    * KV cache capacity of an engine, in tokens, with `more` layers than it
    * retains.
    */
-  roomWith(neighbour: Neighbour, more: number): number;
+  capacityWith(neighbour: Neighbour, more: number): number;
   /**
    * Whether another engine of the group serves the layer and keeps it in this
    * draft, so that the given engine can release it. A layer that is still
@@ -80,10 +80,10 @@
   for (const { id, held } of group) if (held) holds.set(id, held);
   const idle = group
     .filter(({ held, orderable }) => held === null && orderable)
-    .filter((engine) => usualLayers(engine) > 0)
+    .filter((engine) => targetLayers(engine) > 0)
     .sort(compareSpeed);
 
-  function usualLayers({ memoryMb }: PlannedEngine): number {
+  function targetLayers({ memoryMb }: PlannedEngine): number {
     return maxLayersWithCapacity(model, { memoryMb, tokens });
   }
 
@@ -91,19 +91,19 @@
     group,
     model,
     tokens,
-    tightTokens: minCapacityTokens(model),
-    free: () => idle.filter(({ id }) => !holds.has(id)),
+    minKvTokens: minCapacityTokens(model),
+    idleEngines: () => idle.filter(({ id }) => !holds.has(id)),
     held: ({ id }) => holds.get(id),
     ranges: () => [...holds.values()],
-    isOrdered: ({ id }) => orders.has(id),
-    give(engine, range) {
+    hasOrder: ({ id }) => orders.has(id),
+    assign(engine, range) {
       holds.set(engine.id, range);
       orders.set(engine.id, { engineId: engine.id, range });
     },
     orders: () => [...orders.values()],
-    usualLayers,
-    coverage: () => countHolders([...holds.values()], model.layerCount),
-    roomByLayer() {
+    targetLayers,
+    holderCounts: () => countHolders([...holds.values()], model.layerCount),
+    capacityByLayer() {
       const capacities = new Array<number>(model.layerCount).fill(0);
       for (const { id, memoryMb } of group) {
         const range = holds.get(id);
@@ -118,9 +118,9 @@
       }
       return capacities;
     },
-    roomWith({ engine, kept }, more) {
+    capacityWith({ engine, retained }, more) {
       const { memoryMb } = engine;
-      return roomTokens(model, { memoryMb, layers: layersIn(kept) + more });
+      return roomTokens(model, { memoryMb, layers: layersIn(retained) + more });
     },
     isServedByOthers({ id }, layer) {
       return group.some((other) => {
--- a/packages/pipelines/src/range_replication.ts
+++ b/packages/pipelines/src/range_replication.ts
@@ -10,7 +10,9 @@
  * layer has enough capacity.
  */
 export function replicateScarceLayers(draft: PlanDraft): void {
-  const bySize = draft.free().toSorted((a, b) => a.memoryMb - b.memoryMb);
+  const bySize = draft
+    .idleEngines()
+    .toSorted((a, b) => a.memoryMb - b.memoryMb);
   for (const engine of bySize) {
     if (!hasScarceLayers(draft)) return;
     replicateScarcestLayers(draft, engine);
@@ -20,8 +22,8 @@
 /** Whether some layer's total capacity is far below the target. */
 function hasScarceLayers(draft: PlanDraft): boolean {
   return draft
-    .roomByLayer()
-    .some((room) => room < draft.tokens * LOW_CAPACITY_SHARE);
+    .capacityByLayer()
+    .some((capacity) => capacity < draft.tokens * LOW_CAPACITY_SHARE);
 }
 
 /** Replicates the layers with the least total capacity on an engine. */
@@ -29,9 +31,11 @@
   draft: PlanDraft,
   engine: PlannedEngine,
 ): void {
-  const layers = draft.usualLayers(engine);
+  const layers = draft.targetLayers(engine);
   if (layers === 0) return;
-  const needByLayer = draft.roomByLayer().map((room) => 1 / Math.max(1, room));
+  const needByLayer = draft
+    .capacityByLayer()
+    .map((capacity) => 1 / Math.max(1, capacity));
   let best = { from: 0, need: -1 };
   for (let from = 0; from + layers <= draft.model.layerCount; from += 1) {
     const sum = needByLayer
@@ -41,7 +45,7 @@
       best = { from, need: sum };
     }
   }
-  draft.give(engine, { from: best.from, to: best.from + layers });
+  draft.assign(engine, { from: best.from, to: best.from + layers });
 }
 
 /**
@@ -51,7 +55,7 @@
  * engine fills a gap sooner than one that must release layers first.
  */
 export function replicateLargestSoleRange(draft: PlanDraft): void {
-  const idle = draft.free().toSorted((a, b) => a.memoryMb - b.memoryMb);
+  const idle = draft.idleEngines().toSorted((a, b) => a.memoryMb - b.memoryMb);
   const available = idle.slice(
     0,
     Math.max(0, idle.length - reserveCount(draft.group)),
@@ -59,22 +63,22 @@
   const range = largestSoleRange(draft);
   if (!range) return;
   const layers = available.reduce(
-    (total, engine) => total + draft.usualLayers(engine),
+    (total, engine) => total + draft.targetLayers(engine),
     0,
   );
   if (layers < layersIn(range)) return;
   let { from } = range;
   for (const engine of available) {
-    const to = Math.min(range.to, from + draft.usualLayers(engine));
+    const to = Math.min(range.to, from + draft.targetLayers(engine));
     if (from >= to) break;
-    draft.give(engine, { from, to });
+    draft.assign(engine, { from, to });
     from = to;
   }
 }
 
 /** Returns the largest range of which no layer is replicated. */
 function largestSoleRange(draft: PlanDraft): LayerRange | undefined {
-  const counts = draft.coverage();
+  const counts = draft.holderCounts();
   return [...draft.ranges()]
     .filter((range) => layersOf(range).every((layer) => counts[layer] === 1))
     .sort((a, b) => layersIn(b) - layersIn(a) || a.from - b.from)[0];
--- a/packages/pipelines/src/stage_rebalancing.ts
+++ b/packages/pipelines/src/stage_rebalancing.ts
@@ -20,28 +20,36 @@
  */
 export function rebalanceStage(draft: PlanDraft, engine: PlannedEngine): void {
   const range = draft.held(engine);
-  if (!range || !engine.orderable || draft.isOrdered(engine)) return;
-  const capacity = draft.roomWith({ engine, kept: range }, 0);
+  if (!range || !engine.orderable || draft.hasOrder(engine)) return;
+  const capacity = draft.capacityWith({ engine, retained: range }, 0);
   if (capacity >= draft.tokens * LOW_CAPACITY_SHARE) return;
   const trimmedRange = withoutRedundantEdges(draft, engine, range);
   if (layersIn(trimmedRange) < layersIn(range))
-    return draft.give(engine, trimmedRange);
+    return draft.assign(engine, trimmedRange);
   const neighbours = draft.group.flatMap((other) => {
     const held = draft.held(other);
-    if (!held || !other.orderable || draft.isOrdered(other)) return [];
+    if (!held || !other.orderable || draft.hasOrder(other)) return [];
     const isBefore = held.from < range.from && held.to === range.from;
     const isAfter = held.to > range.to && held.from === range.to;
     if (!isBefore && !isAfter) return [];
-    const help = { engine: other, kept: held };
-    return [{ help, isBefore, roomAfter: draft.roomWith(help, 1) }];
+    const helper = { engine: other, retained: held };
+    return [
+      { help: helper, isBefore, capacityAfter: draft.capacityWith(helper, 1) },
+    ];
   });
-  const chosen = neighbours.sort((a, b) => b.roomAfter - a.roomAfter)[0];
+  const chosen = neighbours.sort(
+    (a, b) => b.capacityAfter - a.capacityAfter,
+  )[0];
   if (!chosen) return;
-  const more = layersToTransfer(draft, { engine, kept: range }, chosen.help);
-  if (more > 0)
-    draft.give(
+  const layerCount = layersToTransfer(
+    draft,
+    { engine, retained: range },
+    chosen.help,
+  );
+  if (layerCount > 0)
+    draft.assign(
       chosen.help.engine,
-      extendRange(chosen.help.kept, more, chosen.isBefore),
+      extendRange(chosen.help.retained, layerCount, chosen.isBefore),
     );
 }
 
@@ -49,17 +57,17 @@
 function layersToTransfer(
   draft: PlanDraft,
   bottleneck: Neighbour,
-  help: Neighbour,
+  helper: Neighbour,
 ): number {
-  let more = 0;
+  let layerCount = 0;
   while (
-    layersIn(bottleneck.kept) - more > 1 &&
-    draft.roomWith(help, more + 1) >
-      draft.roomWith(bottleneck, -more) * MIN_CAPACITY_RATIO
+    layersIn(bottleneck.retained) - layerCount > 1 &&
+    draft.capacityWith(helper, layerCount + 1) >
+      draft.capacityWith(bottleneck, -layerCount) * MIN_CAPACITY_RATIO
   ) {
-    more += 1;
+    layerCount += 1;
   }
-  return more;
+  return layerCount;
 }
 
 /**
@@ -71,7 +79,7 @@
   engine: PlannedEngine,
   range: LayerRange,
 ): LayerRange {
-  const minLayers = draft.usualLayers(engine);
+  const minLayers = draft.targetLayers(engine);
   let { from, to } = range;
   while (to - from > minLayers && draft.isServedByOthers(engine, from))
     from += 1;
