--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -235,13 +235,13 @@
   it("replicates the layers of a large engine on idle engines", () => {
     const placed = apply(fleet({ large: 2, small: 12 }));
     const largest = placed.filter(({ id }) => id.startsWith("large"));
-    const isDoubled = largest.some(({ id, held }) =>
+    const isReplicated = largest.some(({ id, held }) =>
       rangesCover(
         placed.filter((other) => other.id !== id),
         held,
       ),
     );
-    expect(isDoubled).toBe(true);
+    expect(isReplicated).toBe(true);
   });
 
   it("keeps idle engines empty if they can't replicate a whole range", () => {
--- a/packages/pipelines/src/range_replication.ts
+++ b/packages/pipelines/src/range_replication.ts
@@ -26,7 +26,7 @@
     .some((capacity) => capacity < draft.tokens * LOW_CAPACITY_SHARE);
 }
 
-/** Replicates the layers with the least total capacity on an engine. */
+/** Replicates on an engine the run of layers that needs capacity most. */
 function replicateScarcestLayers(
   draft: PlanDraft,
   engine: PlannedEngine,
--- a/packages/pipelines/src/stage_rebalancing.ts
+++ b/packages/pipelines/src/stage_rebalancing.ts
@@ -7,7 +7,7 @@
 export const LOW_CAPACITY_SHARE = 0.5;
 /**
  * A neighbour takes over a layer only if its capacity afterwards is more than
- * this many times the capacity of the other engine.
+ * this many times that of the other engine before.
  */
 const MIN_CAPACITY_RATIO = 1.2;
 
