--- a/packages/gateway/src/backend_server.ts
+++ b/packages/gateway/src/backend_server.ts
@@ -1,47 +1,54 @@
-/** Backend servers as the platform lists them. */
+/** Backend servers as registered with the platform, and engine reports. */
 import type { LayerRange } from "@rosemarypin/pipelines";
 
-/** One life of a backend server; a restart makes another. */
+/**
+ * One process of a backend server. `startedAt` and `renewal` order entries with
+ * the same ID.
+ */
 export interface BackendServer {
   readonly id: string;
   readonly service: string;
-  /** HOST:PORT. */
+  /** `host:port`. */
   readonly address: string;
   readonly failureDomain: string;
-  /** Requests that it works on at once. */
+  /** Number of requests that it processes concurrently. */
   readonly slots: number;
-  /** Whether it takes no new requests since it is about to stop. */
+  /** Whether it is about to stop and accepts no new requests. */
   readonly leaving: boolean;
-  /** Start of this life in Unix milliseconds; 0 where it is not told. */
+  /** Start of the process in Unix milliseconds; 0 if unknown. */
   readonly startedAt: number;
-  /** Grows with each writing of the entry in one life. */
+  /** Increases each time the process rewrites its entry. */
   readonly renewal: number;
-  /** Orders that this life has begun; `null` until a report told. */
+  /** Orders that the process has started; `null` before its first report. */
   readonly orderCount: number | null;
-  /** Name of its kind of accelerator; `null` for plain services. */
+  /** Name of its accelerator kind; `null` for plain services. */
   readonly kind: string | null;
   readonly model: string | null;
+  /** Layers that it holds; `null` if none. */
   readonly held: LayerRange | null;
 }
 
-/** What an engine says of itself when asked. */
+/** Response of an engine to a report call. */
 export interface EngineReport {
-  /** `null` where the report does not tell it. */
+  /** Start of the process in Unix milliseconds; `null` if not reported. */
   readonly startedAt: number | null;
+  /** Orders that the process has started. */
   readonly orderCount: number;
   /** Whether an order is in progress. */
   readonly busy: boolean;
+  /** Layers that it holds; `null` if none. */
   readonly held: LayerRange | null;
-  /** Memory that answers take, in tokens times layers. */
+  /** KV cache memory used by answers, in tokens times layers. */
   readonly usedTokenLayers: number;
+  /** Size of the KV cache memory, in tokens times layers. */
   readonly totalTokenLayers: number;
-  /** Answers that wait for a later stage which does not answer. */
+  /** Answers that are blocked by a later stage that does not respond. */
   readonly stalled: readonly StalledAnswer[];
 }
 
-/** An answer held up by a stage. */
+/** An answer that is blocked by a stage. */
 export interface StalledAnswer {
   readonly requestId: string;
-  /** HOST:PORT of the stage. */
+  /** `host:port` of the stage that does not respond. */
   readonly address: string;
 }
--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -1,7 +1,7 @@
-/** The configuration that operators have put in force, in our own terms. */
+/** The gateway's model of the configuration that operators publish. */
 import type { ModelShape } from "@rosemarypin/pipelines";
 
-/** What may be repeated of a request. */
+/** Kind of a request, which decides whether and how it can be retried. */
 export type RequestKind = "idempotent" | "non_idempotent" | "stream";
 
 /** A part of a route's traffic that goes to one service. */
@@ -16,48 +16,54 @@
   readonly name: string;
   /** In lower case and without a port. */
   readonly host: string;
-  /** Begins and ends with a slash. */
+  /** Starts and ends with a slash. */
   readonly pathPrefix: string;
   readonly kind: RequestKind;
-  /** Whether a broken stream may go on elsewhere after its last event. */
+  /** Whether another server may resume a broken stream after its last event. */
   readonly resumable: boolean;
   readonly shares: readonly ServiceShare[];
-  /** The longest time until the final answer, in milliseconds. */
+  /** Maximum time until the answer is complete, in milliseconds. */
   readonly timeoutMs: number;
-  /** Within it an answer, or a stream's first event, is on time. */
+  /**
+   * Latency objective for an answer, or for the first event of a stream, in
+   * milliseconds.
+   */
   readonly objectiveMs: number;
-  /** The longest pause between events that is on time, in milliseconds. */
+  /** Objective for the longest gap between events, in milliseconds. */
   readonly pauseObjectiveMs: number;
-  /** Backend servers to which one request may be sent. */
+  /** Maximum number of backend servers that one request is sent to. */
   readonly maxAttempts: number;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Whether requests need no key. */
+  /** Whether requests are accepted without a key. */
   readonly isPublic: boolean;
 }
 
-/** How long a token takes on engines of one kind, and what they hold. */
+/** Speed and memory of engines with one kind of accelerator. */
 export interface EngineKind {
   readonly name: string;
   readonly memoryMb: number;
+  /** Time of a decoding step, relative to an engine with factor 1. */
   readonly stepFactor: number;
+  /** Time to read a prompt, relative to an engine with factor 1. */
   readonly readFactor: number;
 }
 
-/** What engines of a service run together. */
+/** Model of a service and the kinds of engines that run it. */
 export interface EngineShape {
   readonly model: ModelShape;
+  /** By name. */
   readonly kinds: ReadonlyMap<string, EngineKind>;
 }
 
 /** A service that backend servers offer. */
 export interface Service {
   readonly name: string;
-  /** Present where engines hold layers and serve in pipelines. */
+  /** Set if engines serve the model in pipelines; `null` for plain services. */
   readonly engine: EngineShape | null;
 }
 
-/** Bounds on what a caller may send. */
+/** Limits on the requests and connections of callers. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -65,30 +71,31 @@
   readonly idleTimeoutMs: number;
 }
 
-/** Who calls with a key. */
+/** An organisation, identified by the key of a request. */
 export interface Organisation {
   readonly name: string;
-  /** Goes before the route's priority; `null` for none. */
+  /** Overrides the priority of the route; `null` for no override. */
   readonly priority: number | null;
 }
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
+  /** By name. */
   readonly services: ReadonlyMap<string, Service>;
   readonly limits: CallerLimits;
-  /** By key; `null` where requests need no key at all. */
+  /** By key; `null` if no route needs a key. */
   readonly organisations: ReadonlyMap<string, Organisation> | null;
 }
 
 /** Finds the route of a request. */
 export interface RouteTable {
-  /** The route with the longest prefix that begins the path. */
+  /** Returns the route with the longest path prefix that matches. */
   find(host: string, path: string): Route | null;
 }
 
-/** Indexes routes by host, the longest prefix first. */
+/** Indexes routes by host, longest prefix first. */
 export function createRouteTable(routes: readonly Route[]): RouteTable {
   const hosts = new Map<string, Route[]>();
   for (const route of routes) {
@@ -109,7 +116,7 @@
   };
 }
 
-/** Without its port and in lower case, as routes name hosts. */
+/** Removes the port from a `Host` header and converts it to lower case. */
 function hostName(host: string): string {
   const colon = host.lastIndexOf(":");
   return (colon < 0 ? host : host.slice(0, colon)).toLowerCase();
--- a/packages/gateway/src/configuration_test.ts
+++ b/packages/gateway/src/configuration_test.ts
@@ -23,7 +23,7 @@
   };
 }
 
-describe("the table of routes", () => {
+describe("route table", () => {
   const table = createRouteTable([
     route("short", "x.example", "/a/"),
     route("long", "x.example", "/a/b/"),
@@ -39,12 +39,12 @@
     ["x.example", "/b/", undefined],
     ["z.example", "/a/", undefined],
     ["", "/a/", undefined],
-  ])("finds for %s %s the route %s", (host, path, name) => {
+  ])("maps host %s and path %s to route %s", (host, path, name) => {
     expect(table.find(host, path)?.name).toBe(name);
   });
 });
 
-describe("the configuration in force", () => {
+describe("configuration keeper", () => {
   function version(number: number): Configuration {
     return {
       version: number,
@@ -60,9 +60,9 @@
     };
   }
 
-  it("never goes back", () => {
-    // A read that lags, or a peer that was cut off, brings an older version
-    // after a newer one: a dropped key would be let in again.
+  it("ignores versions that are not newer than the applied one", () => {
+    // A lagging read, or a peer that was cut off, may deliver an older version
+    // after a newer one. Applying it would accept a revoked key again.
     const keeper = createConfigurationKeeper();
     const seen: number[] = [];
     keeper.onChanged((applied) => seen.push(applied.version));
--- a/packages/gateway/src/following/change_log.ts
+++ b/packages/gateway/src/following/change_log.ts
@@ -1,18 +1,18 @@
-/** The latest changes of a mirror, for instances that follow it. */
+/** A log of a mirror's latest changes, read by instances that follow it. */
 import type { StoredObject } from "@rosemarypin/store";
 import { z } from "zod";
 
-/** Changes that are kept; who is further behind gets all objects. */
-const KEPT_CHANGES = 512;
+/** Changes a full log keeps; a follower further behind gets all objects. */
+const MIN_KEPT_CHANGES = 512;
 
-/** Objects as instances pass them on to each other. */
+/** Encoding of objects in calls between instances. */
 export const storedObjectsSchema = z.array(
   z.object({ key: z.string(), value: z.unknown(), version: z.number() }),
 );
 
-/** How far a follower has read one log. */
+/** A follower's read position in a log. */
 export const positionSchema = z.object({
-  /** Tells logs of different processes apart. */
+  /** Random number that identifies the log; a restart creates another one. */
   epoch: z.number(),
   sequence: z.number(),
 });
@@ -21,52 +21,53 @@
 
 export interface Changes {
   readonly position: ChangePosition;
-  /** Whether `objects` is all there is. */
+  /** Whether `objects` is the whole state, so that other keys are removed. */
   readonly isWhole: boolean;
   readonly objects: readonly StoredObject[];
   readonly removed: readonly string[];
 }
 
 export interface ChangeLog {
+  /** Records that the object at the key was written or removed. */
   put(key: string): void;
   position(): ChangePosition;
-  /** What changed since; all objects when that is not known any more. */
+  /** Changes after a position; all objects if the log doesn't reach back. */
   after(position: ChangePosition | null): Changes;
-  /** Calls the listener with each change; returns how to stop. */
+  /** Calls the listener after each change; returns an unsubscribe function. */
   onChange(listener: () => void): () => void;
 }
 
-/** Creates the log of one mirror, which knows the objects themselves. */
+/** Creates the log of a mirror; the mirror keeps `objects` up to date. */
 export function createChangeLog(
   objects: ReadonlyMap<string, StoredObject>,
 ): ChangeLog {
   const epoch = Math.floor(Math.random() * Number.MAX_SAFE_INTEGER);
-  /** Keys in the order of their changes. */
-  let keys: string[] = [];
-  /** Sequence of the first of them. */
-  let first = 1;
+  /** Keys in order of change; a key may occur more than once. */
+  let changedKeys: string[] = [];
+  /** Sequence number of the first entry of `changedKeys`. */
+  let firstSequence = 1;
   const listeners = new Set<() => void>();
 
   function position(): ChangePosition {
-    return { epoch, sequence: first + keys.length - 1 };
+    return { epoch, sequence: firstSequence + changedKeys.length - 1 };
   }
 
   return {
     position,
     put(key) {
-      keys.push(key);
-      if (keys.length > 2 * KEPT_CHANGES) {
-        first += keys.length - KEPT_CHANGES;
-        keys = keys.slice(-KEPT_CHANGES);
+      changedKeys.push(key);
+      if (changedKeys.length > 2 * MIN_KEPT_CHANGES) {
+        firstSequence += changedKeys.length - MIN_KEPT_CHANGES;
+        changedKeys = changedKeys.slice(-MIN_KEPT_CHANGES);
       }
       for (const listener of [...listeners]) listener();
     },
     after(since) {
-      const isKnown =
+      const isCovered =
         since?.epoch === epoch &&
-        since.sequence >= first - 1 &&
+        since.sequence >= firstSequence - 1 &&
         since.sequence <= position().sequence;
-      if (!isKnown) {
+      if (!isCovered) {
         return {
           position: position(),
           isWhole: true,
@@ -74,7 +75,9 @@
           removed: [],
         };
       }
-      const changed = new Set(keys.slice(since.sequence - first + 1));
+      const changed = new Set(
+        changedKeys.slice(since.sequence - firstSequence + 1),
+      );
       return {
         position: position(),
         isWhole: false,
--- a/packages/gateway/src/following/change_log_test.ts
+++ b/packages/gateway/src/following/change_log_test.ts
@@ -18,21 +18,23 @@
   };
 }
 
-function names(changes: { readonly objects: readonly StoredObject[] }) {
+function describeObjects(changes: {
+  readonly objects: readonly StoredObject[];
+}) {
   return changes.objects.map(({ key, version }) => `${key}@${version}`);
 }
 
-describe("the log of changes", () => {
-  it("gives all objects to who knows nothing", () => {
+describe("change log", () => {
+  it("returns all objects without a position", () => {
     const { log, put } = setUp();
     put("a", 1);
     put("b", 2);
     const changes = log.after(null);
     expect(changes.isWhole).toBe(true);
-    expect(names(changes)).toEqual(["a@1", "b@2"]);
+    expect(describeObjects(changes)).toEqual(["a@1", "b@2"]);
   });
 
-  it("gives each change once, in its last state", () => {
+  it("returns each changed object once, in its latest state", () => {
     const { log, put, remove } = setUp();
     put("a", 1);
     const { position } = log.after(null);
@@ -42,41 +44,41 @@
     remove("c");
     const changes = log.after(position);
     expect(changes.isWhole).toBe(false);
-    expect(names(changes)).toEqual(["b@3"]);
+    expect(describeObjects(changes)).toEqual(["b@3"]);
     expect(changes.removed).toEqual(["c"]);
-    expect(names(log.after(changes.position))).toEqual([]);
+    expect(describeObjects(log.after(changes.position))).toEqual([]);
   });
 
-  it("gives all objects to who read the log of another process", () => {
+  it("returns all objects for a position in another log", () => {
     const { log, put } = setUp();
     put("a", 1);
     const { position } = log.after(null);
-    const other = { ...position, epoch: position.epoch + 1 };
-    expect(log.after(other).isWhole).toBe(true);
+    const otherPosition = { ...position, epoch: position.epoch + 1 };
+    expect(log.after(otherPosition).isWhole).toBe(true);
   });
 
-  it("gives all objects to who is too far behind", () => {
+  it("returns all objects for a position that is too old", () => {
     const { log, put } = setUp();
     put("a", 1);
     const { position } = log.after(null);
     for (let version = 2; version < 3_000; version += 1) put("a", version);
     const changes = log.after(position);
     expect(changes.isWhole).toBe(true);
-    expect(names(changes)).toEqual(["a@2999"]);
+    expect(describeObjects(changes)).toEqual(["a@2999"]);
   });
 
-  it("tells of each change until it is told to stop", () => {
+  it("notifies a listener of each change until it unsubscribes", () => {
     const { log, put } = setUp();
-    let told = 0;
-    const stop = log.onChange(() => {
-      told += 1;
+    let notifications = 0;
+    const unsubscribe = log.onChange(() => {
+      notifications += 1;
     });
-    expect(told).toBe(0);
+    expect(notifications).toBe(0);
     put("a", 1);
     put("a", 2);
-    expect(told).toBe(2);
-    stop();
+    expect(notifications).toBe(2);
+    unsubscribe();
     put("a", 3);
-    expect(told).toBe(2);
+    expect(notifications).toBe(2);
   });
 });
--- a/packages/gateway/src/following/change_relay.ts
+++ b/packages/gateway/src/following/change_relay.ts
@@ -1,23 +1,23 @@
 /**
- * Lets instances of a failure domain follow the store through a few of them.
- * Each that followed it alone would cost the store as many calls as all the
- * others. What is passed on is the relay's own copy.
+ * The serving side of a relay, which forwards its own copy of the store's
+ * objects to other instances of its failure domain. Only relays then watch the
+ * store, so its load does not grow with every instance.
  */
 import type { PeerMethods } from "@rosemarypin/membership";
 import { createAlarm, pause } from "@rosemarypin/timing";
 import type { ObjectMirror } from "./object_mirror.ts";
 import {
-  askSchema,
   FOLLOW_METHOD,
-  type RelayAsk,
-  type RelayNews,
+  type FollowRequest,
+  type FollowResponse,
+  followRequestSchema,
 } from "./relay_protocol.ts";
 
-/** How often a relay that is followed asks whether the store answers. */
-const PROBE_EVERY_MS = 500;
+/** How often a relay with followers probes the store. */
+const PROBE_INTERVAL_MS = 500;
 const PROBE_TIMEOUT_MS = 400;
-/** After this without a call, a relay is not followed any more. */
-const FOLLOWED_FOR_MS = 3_000;
+/** A relay stops its probes after this time without a follower's call. */
+const FOLLOWER_TIMEOUT_MS = 3_000;
 
 export interface ChangeRelay {
   readonly methods: PeerMethods;
@@ -25,49 +25,49 @@
 
 export interface ChangeRelayOptions {
   readonly mirrors: () => readonly ObjectMirror[];
-  /** Asks the store for something small; whether it answered in time. */
+  /** Sends a small read to the store; resolves to whether it answered in time. */
   readonly probeStore: (timeoutMs: number) => Promise<boolean>;
   readonly signal: AbortSignal;
 }
 
 /**
- * Creates the side that is followed. Its watches may be held for seconds
- * without news; that the store still reaches it shows in probes, which may be
- * answered with an older state at a tenth of the price.
+ * Creates the RPC methods of a relay. A watch may stay open for seconds without
+ * a change and so doesn't show that the store is reachable. Probes do; they
+ * allow stale reads, which cost a tenth of a consistent read.
  */
 export function createChangeRelay({
   mirrors,
   probeStore,
   signal,
 }: ChangeRelayOptions): ChangeRelay {
-  let followedAt = -Infinity;
-  let heardAt = -Infinity;
+  let lastRequestAt = -Infinity;
+  let lastAnsweredProbeAt = -Infinity;
   let isProbing = false;
 
   async function probeWhileFollowed(): Promise<void> {
     if (isProbing) return;
     isProbing = true;
-    while (!signal.aborted && isFollowed()) {
-      await pause(PROBE_EVERY_MS, signal);
+    while (!signal.aborted && hasFollowers()) {
+      await pause(PROBE_INTERVAL_MS, signal);
       const sentAt = performance.now();
-      if (await probeStore(PROBE_TIMEOUT_MS)) heardAt = sentAt;
+      if (await probeStore(PROBE_TIMEOUT_MS)) lastAnsweredProbeAt = sentAt;
     }
     isProbing = false;
   }
 
-  function isFollowed(): boolean {
-    return performance.now() - followedAt < FOLLOWED_FOR_MS;
+  function hasFollowers(): boolean {
+    return performance.now() - lastRequestAt < FOLLOWER_TIMEOUT_MS;
   }
 
-  function changesAfter(ask: RelayAsk): RelayNews["changes"] {
+  function changesAfter(ask: FollowRequest): FollowResponse["changes"] {
     return ask.positions.flatMap(({ prefix, position }) => {
-      const mirror = mirrors().find((one) => one.prefix === prefix);
+      const mirror = mirrors().find((mirror) => mirror.prefix === prefix);
       if (!mirror) return [];
       const changes = mirror.log.after(position);
-      const isSame =
+      const isUnchanged =
         changes.position.epoch === position?.epoch &&
         changes.position.sequence === position.sequence;
-      if (isSame) return [];
+      if (isUnchanged) return [];
       const { objects, removed } = changes;
       return [
         { ...changes, prefix, objects: [...objects], removed: [...removed] },
@@ -75,38 +75,44 @@
     });
   }
 
-  /** Listeners go with each call: a quiet prefix changes once in hours. */
-  async function nextChange(withinMs: number): Promise<void> {
-    const change = createAlarm();
-    const stops = mirrors().map(({ log }) => log.onChange(change.ring));
-    await change.wait(withinMs, signal);
-    for (const stop of stops) stop();
+  /**
+   * Waits for a change of any mirror. Listeners are removed after each call:
+   * a prefix may not change for hours, and they would pile up.
+   */
+  async function waitForChange(withinMs: number): Promise<void> {
+    const alarm = createAlarm();
+    const unsubscribers = mirrors().map(({ log }) => log.onChange(alarm.ring));
+    await alarm.wait(withinMs, signal);
+    for (const stop of unsubscribers) stop();
   }
 
-  /** Since the store last answered; endless while watches fail. */
-  function ageMs(): number {
+  /**
+   * Milliseconds since the store last answered; `MAX_SAFE_INTEGER` while
+   * watches fail, as JSON can't encode infinity.
+   */
+  function storeAgeMs(): number {
     if (mirrors().some((mirror) => mirror.awayMs() > 0)) {
       return Number.MAX_SAFE_INTEGER;
     }
-    const watchedMs = Math.max(...mirrors().map((mirror) => mirror.ageMs()));
-    const probedMs = performance.now() - heardAt;
-    const isWatched = watchedMs < Number.POSITIVE_INFINITY;
-    if (!isWatched) return Number.MAX_SAFE_INTEGER;
-    return Math.min(watchedMs, probedMs);
+    const watchAgeMs = Math.max(...mirrors().map((mirror) => mirror.ageMs()));
+    const probeAgeMs = performance.now() - lastAnsweredProbeAt;
+    const hasWatchAnswer = watchAgeMs < Number.POSITIVE_INFINITY;
+    if (!hasWatchAnswer) return Number.MAX_SAFE_INTEGER;
+    return Math.min(watchAgeMs, probeAgeMs);
   }
 
   return {
     methods: {
-      async [FOLLOW_METHOD](params): Promise<RelayNews> {
-        const ask = askSchema.parse(params);
-        followedAt = performance.now();
+      async [FOLLOW_METHOD](params): Promise<FollowResponse> {
+        const ask = followRequestSchema.parse(params);
+        lastRequestAt = performance.now();
         void probeWhileFollowed();
         let changes = changesAfter(ask);
         if (changes.length === 0 && ask.holdMs > 0) {
-          await nextChange(ask.holdMs);
+          await waitForChange(ask.holdMs);
           changes = changesAfter(ask);
         }
-        return { ageMs: ageMs(), changes };
+        return { ageMs: storeAgeMs(), changes };
       },
     },
   };
--- a/packages/gateway/src/following/change_relay_test.ts
+++ b/packages/gateway/src/following/change_relay_test.ts
@@ -12,28 +12,28 @@
 import { startRelayFollower } from "./relay_follower.ts";
 
 const PREFIX = "servers/";
-/** How long the store holds a watch. */
-const HOLD_MS = 3_000;
+/** Time after which the store answers a watch without changes. */
+const WATCH_TIMEOUT_MS = 3_000;
 const RELAYS = ["one", "two"].map((host): Address => ({ host, port: 1 }));
 
-let ending: AbortController;
+let abortController: AbortController;
 
 beforeEach(() => {
   vi.useFakeTimers();
-  ending = new AbortController();
+  abortController = new AbortController();
 });
 
 afterEach(() => {
-  ending.abort();
+  abortController.abort();
   vi.useRealTimers();
 });
 
-/** A store with one object, whose state can be hidden from single readers. */
+/** A store with one object, whose watches can fail for chosen readers. */
 function createStore() {
-  const silent = new Set<string>();
+  const cutOffReaders = new Set<string>();
   const calls = new Map<string, number>();
   let version = 1;
-  let wake: (() => void)[] = [];
+  let pendingWatches: (() => void)[] = [];
 
   function batch(since: number): StoreResult<WatchBatch> {
     const object = { key: `${PREFIX}e`, value: version, version };
@@ -49,28 +49,30 @@
     { since }: { since: number },
   ): Promise<StoreResult<WatchBatch>> {
     calls.set(reader, (calls.get(reader) ?? 0) + 1);
-    if (silent.has(reader)) {
-      await new Promise((resolve) => setTimeout(resolve, HOLD_MS + 800));
+    if (cutOffReaders.has(reader)) {
+      await new Promise((resolve) =>
+        setTimeout(resolve, WATCH_TIMEOUT_MS + 800),
+      );
       return { kind: "unavailable", detail: "no answer" };
     }
     if (version > since) return batch(since);
     await Promise.race([
-      new Promise<void>((resolve) => wake.push(resolve)),
-      new Promise((resolve) => setTimeout(resolve, HOLD_MS)),
+      new Promise<void>((resolve) => pendingWatches.push(resolve)),
+      new Promise((resolve) => setTimeout(resolve, WATCH_TIMEOUT_MS)),
     ]);
-    // News that comes while the reader is cut off is lost on the way.
-    if (silent.has(reader)) return await new Promise(() => {});
+    // A response is lost if the reader is cut off meanwhile.
+    if (cutOffReaders.has(reader)) return await new Promise(() => {});
     return batch(since);
   }
 
   return {
-    silent,
+    cutOffReaders,
     calls,
     change() {
       version += 1;
-      const woken = wake;
-      wake = [];
-      for (const resolve of woken) resolve();
+      const resolvedWatches = pendingWatches;
+      pendingWatches = [];
+      for (const resolve of resolvedWatches) resolve();
       return { at: performance.now(), version };
     },
     as: (reader: string) =>
@@ -83,20 +85,20 @@
 
 function setUp() {
   const store = createStore();
-  const frozen = new Set<string>();
+  const frozenRelays = new Set<string>();
   const methods = new Map<string, PeerMethods>();
   for (const { host } of RELAYS) {
     const mirrors: ObjectMirror[] = [];
     const relay = createChangeRelay({
       mirrors: () => mirrors,
-      probeStore: async () => !store.silent.has(host),
-      signal: ending.signal,
+      probeStore: async () => !store.cutOffReaders.has(host),
+      signal: abortController.signal,
     });
     mirrors.push(
       startObjectMirror({
         store: store.as(host),
         prefix: PREFIX,
-        signal: ending.signal,
+        signal: abortController.signal,
         onObject: () => {},
       }),
     );
@@ -104,18 +106,18 @@
   }
   const caller: PeerCaller = {
     async call({ host }, method, { params, timeoutMs = 0 } = {}) {
-      const late = new Promise<PeerResult>((resolve) =>
+      const timeout = new Promise<PeerResult>((resolve) =>
         setTimeout(
           () => resolve({ kind: "unreachable", detail: "late" }),
           timeoutMs,
         ),
       );
-      if (frozen.has(host)) return await late;
+      if (frozenRelays.has(host)) return await timeout;
       const answer = Promise.resolve(methods.get(host)?.[method]?.(params));
       const value = answer.then(
         (result): PeerResult => ({ kind: "ok", value: result }),
       );
-      return await Promise.race([value, late]);
+      return await Promise.race([value, timeout]);
     },
   };
   const mirrors: ObjectMirror[] = [];
@@ -123,117 +125,118 @@
     mirrors: () => mirrors,
     caller,
     relays: () => RELAYS,
-    signal: ending.signal,
+    signal: abortController.signal,
   });
   const seen: [number, number][] = [];
   mirrors.push(
     startObjectMirror({
       store: store.as("follower"),
       prefix: PREFIX,
-      signal: ending.signal,
+      signal: abortController.signal,
       onObject: ({ version }) => seen.push([version, performance.now()]),
       relay: follower,
     }),
   );
-  const settle = (ms: number) => vi.advanceTimersByTimeAsync(ms);
+  const advance = (ms: number) => vi.advanceTimersByTimeAsync(ms);
 
-  /** Milliseconds from a change until the follower has it. */
+  /** Returns the milliseconds from a change until the follower has it. */
   async function changeAndWait(ms: number): Promise<number> {
     const { at, version } = store.change();
-    await settle(ms);
-    const found = seen.find(([one]) => one === version);
+    await advance(ms);
+    const found = seen.find(([seenVersion]) => seenVersion === version);
     return (found?.[1] ?? Number.POSITIVE_INFINITY) - at;
   }
 
-  return { store, frozen, follower, seen, settle, changeAndWait };
+  return { store, frozenRelays, follower, seen, advance, changeAndWait };
 }
 
-describe("a relay", () => {
-  it("keeps nothing of calls that it held without news", async () => {
-    // A prefix may not change for days, and is asked about twice a second.
+describe("change relay", () => {
+  it("removes its listeners after each long poll without a change", async () => {
+    // A prefix may not change for days while each follower polls it twice a
+    // second, so listeners that stay registered would leak memory.
     let listeners = 0;
     const log = createChangeLog(new Map());
-    const counted: ChangeLog = {
+    const countingLog: ChangeLog = {
       ...log,
       onChange(listener) {
-        const stop = log.onChange(listener);
+        const unsubscribe = log.onChange(listener);
         listeners += 1;
         return () => {
           listeners -= 1;
-          stop();
+          unsubscribe();
         };
       },
     };
     const mirror = {
       prefix: PREFIX,
-      log: counted,
+      log: countingLog,
       ageMs: () => 0,
       awayMs: () => 0,
     } as unknown as ObjectMirror;
     const { methods } = createChangeRelay({
       mirrors: () => [mirror],
       probeStore: async () => true,
-      signal: ending.signal,
+      signal: abortController.signal,
     });
     const positions = [{ prefix: PREFIX, position: log.position() }];
     for (let call = 0; call < 10; call += 1) {
-      const held = methods["objects.follow"]?.({ holdMs: 600, positions });
+      const response = methods["objects.follow"]?.({ holdMs: 600, positions });
       expect(listeners).toBe(1);
       await vi.advanceTimersByTimeAsync(600);
-      expect(await held).toMatchObject({ changes: [] });
+      expect(await response).toMatchObject({ changes: [] });
     }
     expect(listeners).toBe(0);
   });
 });
 
-describe("an instance that follows the store through another one", () => {
-  it("has changes at once, and asks the store now and then only", async () => {
-    const { store, settle, changeAndWait, follower } = setUp();
-    await settle(4_000);
+describe("relay follower", () => {
+  it("receives changes at once and calls the store only for full reads", async () => {
+    const { store, advance, changeAndWait, follower } = setUp();
+    await advance(4_000);
     expect(follower.isFollowing()).toBe(true);
     expect(await changeAndWait(100)).toBeLessThan(50);
     const before = store.calls.get("follower") ?? 0;
-    await settle(60_000);
+    await advance(60_000);
     const calls = (store.calls.get("follower") ?? 0) - before;
     expect(calls).toBeLessThanOrEqual(4);
     expect(calls).toBeGreaterThanOrEqual(3);
   });
 
-  it("has a change within two seconds though its relay is frozen", async () => {
-    const { frozen, settle, changeAndWait } = setUp();
-    await settle(4_000);
-    frozen.add("one");
-    frozen.add("two");
+  it("receives a change within two seconds when its relays freeze", async () => {
+    const { frozenRelays, advance, changeAndWait } = setUp();
+    await advance(4_000);
+    frozenRelays.add("one");
+    frozenRelays.add("two");
     expect(await changeAndWait(2_000)).toBeLessThan(2_000);
   });
 
-  it("has a change within two seconds though its relay is cut off from the store", async () => {
-    const { store, settle, changeAndWait } = setUp();
-    await settle(4_000);
-    store.silent.add("one");
-    store.silent.add("two");
+  it("receives a change within two seconds when its relays lose the store", async () => {
+    const { store, advance, changeAndWait } = setUp();
+    await advance(4_000);
+    store.cutOffReaders.add("one");
+    store.cutOffReaders.add("two");
     expect(await changeAndWait(2_000)).toBeLessThan(2_000);
   });
 
-  it("goes on through another relay when its own is lost", async () => {
-    const { store, frozen, settle, follower, changeAndWait } = setUp();
-    await settle(4_000);
-    frozen.add("one");
-    await settle(8_000);
+  it("switches to another relay when its relay fails", async () => {
+    const { store, frozenRelays, advance, follower, changeAndWait } = setUp();
+    await advance(4_000);
+    frozenRelays.add("one");
+    await advance(8_000);
     expect(follower.isFollowing()).toBe(true);
     const before = store.calls.get("follower") ?? 0;
     expect(await changeAndWait(100)).toBeLessThan(50);
     expect(store.calls.get("follower")).toBe(before);
   });
 
-  it("never goes back to an older state", async () => {
-    const { store, settle, seen, frozen } = setUp();
-    await settle(4_000);
+  it("never applies an older version after a newer one", async () => {
+    const { store, advance, seen, frozenRelays } = setUp();
+    await advance(4_000);
     for (let round = 0; round < 20; round += 1) {
       store.change();
-      if (round % 5 === 0) frozen.add(round % 2 === 0 ? "one" : "two");
-      if (round % 7 === 0) frozen.clear();
-      await settle(700);
+      if (round % 5 === 0) frozenRelays.add(round % 2 === 0 ? "one" : "two");
+      if (round % 7 === 0) frozenRelays.clear();
+      await advance(700);
     }
     const versions = seen.map(([version]) => version);
     expect(versions).toEqual([...versions].sort((a, b) => a - b));
--- a/packages/gateway/src/following/configuration_keeper.ts
+++ b/packages/gateway/src/following/configuration_keeper.ts
@@ -1,4 +1,4 @@
-/** The configuration that this instance applies; it never goes back. */
+/** Keeps the configuration in force; its version never decreases. */
 import { createLogger } from "@rosemarypin/telemetry";
 import {
   type Configuration,
@@ -8,16 +8,17 @@
 
 const log = createLogger("configuration");
 
-/** A configuration with its index. */
+/** A configuration with its index of routes. */
 export interface AppliedConfiguration extends Configuration {
   readonly table: RouteTable;
 }
 
 export interface ConfigurationKeeper {
+  /** The configuration in force; `null` before the first one. */
   applied(): AppliedConfiguration | null;
-  /** Applies a configuration unless it is older than the one in force. */
+  /** Applies a configuration if it is newer than the one in force. */
   offer(configuration: Configuration): void;
-  /** Calls back after each change. */
+  /** Calls the callback with each newly applied configuration. */
   onChanged(callback: (applied: AppliedConfiguration) => void): void;
 }
 
@@ -29,14 +30,14 @@
   return {
     applied: () => applied,
     offer(configuration) {
-      const from = applied?.version ?? 0;
-      // A stale read or a slow peer must not bring a dropped route back.
-      if (applied && configuration.version <= from) return;
+      const previousVersion = applied?.version ?? 0;
+      // A stale read or a slow peer must not restore a removed route.
+      if (applied && configuration.version <= previousVersion) return;
       const table = createRouteTable(configuration.routes);
       applied = { ...configuration, table };
       log.info("configuration_in_force", {
         version: configuration.version,
-        previous: from,
+        previous: previousVersion,
         routes: configuration.routes.length,
         services: configuration.services.size,
         organisations: configuration.organisations?.size,
--- a/packages/gateway/src/following/mod.ts
+++ b/packages/gateway/src/following/mod.ts
@@ -1,4 +1,4 @@
-/** Follows the store, by itself or through others, and knows the instances. */
+/** Replicates store objects to each instance and tracks live instances. */
 export * from "./configuration_keeper.ts";
 export {
   type LiveInstance,
--- a/packages/gateway/src/following/object_mirror.ts
+++ b/packages/gateway/src/following/object_mirror.ts
@@ -1,4 +1,4 @@
-/** A local copy of the objects below a prefix, kept current by a watch. */
+/** A local copy of the objects under a prefix, kept current by a watch. */
 import {
   fullJitterMs,
   type ObjectStore,
@@ -9,34 +9,36 @@
 import { pause } from "@rosemarypin/timing";
 import { type ChangeLog, type Changes, createChangeLog } from "./change_log.ts";
 
-/** Short: changes must be in force within two seconds of their writing. */
-const JITTER = { firstMs: 80, largestMs: 600 } as const;
+/** Short, because a change must take effect within two seconds of its write. */
+const RETRY_BACKOFF = { firstMs: 80, largestMs: 600 } as const;
 /**
- * A watch may skip a change, and a store that was away may have dropped and
- * taken back entries; reading all anew now and then finds what was missed.
+ * Interval of full reads. A watch may skip a change, and entries may expire and
+ * be written again during an outage of the store; a full read repairs the copy.
  */
-const READ_ALL_EVERY_MS = 20_000;
-/** Each instance reads at times of its own. */
-const READ_ALL_SPREAD = 0.25;
+const FULL_READ_INTERVAL_MS = 20_000;
+/** Share of the interval that is random, so that instances don't read at once. */
+const FULL_READ_JITTER = 0.25;
 /**
- * Changes closer to each other than this are a series: many servers start, or
- * take layers. Each of them brought by a watch of its own, they cost as many
- * calls on every instance.
+ * Changes closer together than this form a burst, as when many servers start or
+ * load layers. Without batching, each change of a burst costs every instance
+ * one call of the store.
  */
-const SERIES_MS = 600;
-const GATHER_MS = 250;
+const BURST_GAP_MS = 600;
+/** Delay before the next watch during a burst, so that it returns a batch. */
+const BURST_DELAY_MS = 250;
 /**
- * After an outage of the store, entries that lapsed meanwhile are written
- * again within about two seconds; what is missing then is gone.
+ * Live servers rewrite entries that expired during an outage of the store
+ * within about two seconds. Entries that are still missing after this grace
+ * period are removed.
  */
-const RETURN_GRACE_MS = 2_500;
+const REMOVAL_GRACE_MS = 2_500;
 
 const logger = createLogger("store");
 
 export interface RelayFollower {
-  /** Whether the mirrors are kept current by a relay now. */
+  /** Whether a relay currently keeps the mirrors up to date. */
   isFollowing(): boolean;
-  /** Calls the listener when that has ended; returns how to stop. */
+  /** Calls the listener when following ends; returns an unsubscribe function. */
   onEnded(listener: () => void): () => void;
 }
 
@@ -44,147 +46,160 @@
   readonly store: ObjectStore;
   readonly prefix: string;
   readonly signal: AbortSignal;
-  /** Called for each new version of an object. */
+  /** Called with each new version of an object. */
   readonly onObject: (object: StoredObject) => void;
-  /** Called when an object is gone for good. */
+  /** Called after an object is removed, once any grace period is over. */
   readonly onRemoved?: (key: string) => void;
-  /** What keeps the mirror current instead of the store, while it does. */
+  /** While it follows a relay, the mirror doesn't watch the store. */
   readonly relay?: RelayFollower;
 }
 
 export interface ObjectMirror {
   readonly prefix: string;
-  /** What changed, for instances that follow this one. */
+  /** Recent changes, for instances that follow this one. */
   readonly log: ChangeLog;
-  /** The store's revision up to which the mirror is current. */
+  /** Store revision that the mirror reflects. */
   revision(): number;
   objects(): readonly StoredObject[];
-  /** Takes in all objects as a peer has them, at a higher revision. */
+  /** Replaces the contents with a peer's; ignored unless it is newer. */
   takeFromPeer(news: {
     readonly revision: number;
     readonly objects: readonly StoredObject[];
   }): void;
-  /** Takes in what a relay passes on, which heard of the store so long ago. */
+  /**
+   * Applies changes from a relay. `ageMs` is the time since the store last
+   * answered the relay, in milliseconds.
+   */
   takeFromRelay(changes: Omit<Changes, "position">, ageMs: number): void;
-  /** Milliseconds since the store last answered; infinite before it did. */
+  /**
+   * Milliseconds since the store last answered, directly or through a relay;
+   * `Infinity` before the first answer.
+   */
   ageMs(): number;
-  /** Milliseconds since calls began to fail; 0 while they work. */
+  /** Milliseconds since store calls began to fail; 0 while they succeed. */
   awayMs(): number;
 }
 
-/** Starts to follow the prefix until the signal ends it. */
+/** Starts to mirror the prefix; stops when the signal aborts. */
 export function startObjectMirror(options: ObjectMirrorOptions): ObjectMirror {
   const { store, prefix, signal, relay } = options;
-  const known = new Map<string, StoredObject>();
-  const log = createChangeLog(known);
-  /** Objects that are missing, with the time from which they are gone. */
-  const missing = new Map<string, NodeJS.Timeout>();
-  const readAllEveryMs =
-    READ_ALL_EVERY_MS * (1 - READ_ALL_SPREAD * Math.random());
-  let since = 0;
-  let readAllAt = -Infinity;
-  let answeredAt = -Infinity;
-  let changedAt = -Infinity;
+  const objectsByKey = new Map<string, StoredObject>();
+  const log = createChangeLog(objectsByKey);
+  /** Timers that remove missing objects after the grace period, by key. */
+  const removalTimers = new Map<string, NodeJS.Timeout>();
+  const fullReadIntervalMs =
+    FULL_READ_INTERVAL_MS * (1 - FULL_READ_JITTER * Math.random());
+  let currentRevision = 0;
+  let lastFullReadAt = -Infinity;
+  let lastAnswerAt = -Infinity;
+  let lastChangeAt = -Infinity;
   let failures = 0;
-  let failedAt = -Infinity;
-  let returnedAt = -Infinity;
+  let firstFailureAt = -Infinity;
+  let recoveredAt = -Infinity;
   void follow();
 
   async function follow(): Promise<void> {
     while (!signal.aborted) {
-      const restMs = readAllAt + readAllEveryMs - performance.now();
-      if (relay?.isFollowing() && restMs > 0) {
-        await rest(relay, restMs);
+      const untilFullReadMs =
+        lastFullReadAt + fullReadIntervalMs - performance.now();
+      if (relay?.isFollowing() && untilFullReadMs > 0) {
+        await waitForRelayEnd(relay, untilFullReadMs);
         continue;
       }
-      const readsAll = performance.now() - readAllAt >= readAllEveryMs;
+      const isFullRead =
+        performance.now() - lastFullReadAt >= fullReadIntervalMs;
       const result = await store.watch(prefix, {
-        since: readsAll ? 0 : since,
+        since: isFullRead ? 0 : currentRevision,
         signal,
       });
       if (signal.aborted) return;
       if (result.kind !== "ok") {
-        await waitAfter(result);
+        await backOff(result);
         continue;
       }
       const now = performance.now();
       if (failures > 0) {
-        returnedAt = now;
+        recoveredAt = now;
         logger.info("store_back", { prefix, failures });
       }
       failures = 0;
-      answeredAt = now;
+      lastAnswerAt = now;
       const { objects, removed = [], revision, isWhole } = result.value;
-      if (isWhole) readAllAt = now;
-      // A store that lags must not lead the watch back.
-      since = Math.max(since, revision);
-      for (const object of objects) take(object);
-      for (const key of removed) miss(key);
-      if (isWhole) missOthers(objects);
-      if (objects.length + removed.length > 0) await gather(now);
+      if (isWhole) lastFullReadAt = now;
+      // A lagging replica of the store may answer with an older revision.
+      currentRevision = Math.max(currentRevision, revision);
+      for (const object of objects) applyObject(object);
+      for (const key of removed) scheduleRemoval(key);
+      if (isWhole) scheduleRemovalOfOthers(objects);
+      if (objects.length + removed.length > 0) await delayDuringBurst(now);
     }
   }
 
-  /** Waits where changes follow each other, so that one watch brings many. */
-  async function gather(now: number): Promise<void> {
-    const isSeries = now - changedAt < SERIES_MS;
-    changedAt = now;
-    if (isSeries) await pause(GATHER_MS, signal);
+  /** Delays the next watch during a burst, so that it returns many changes. */
+  async function delayDuringBurst(now: number): Promise<void> {
+    const isBurst = now - lastChangeAt < BURST_GAP_MS;
+    lastChangeAt = now;
+    if (isBurst) await pause(BURST_DELAY_MS, signal);
   }
 
-  /** Waits for the relay's end, or until all is to be read anew. */
-  async function rest(by: RelayFollower, restMs: number): Promise<void> {
+  /** Waits until the relay is lost, or the next full read is due. */
+  async function waitForRelayEnd(
+    follower: RelayFollower,
+    longestMs: number,
+  ): Promise<void> {
     const ended = new AbortController();
-    const stop = by.onEnded(() => ended.abort());
-    await pause(restMs, AbortSignal.any([signal, ended.signal]));
+    const stop = follower.onEnded(() => ended.abort());
+    await pause(longestMs, AbortSignal.any([signal, ended.signal]));
     stop();
-    // What the relay had not passed on yet is read from the store.
-    if (!by.isFollowing()) readAllAt = -Infinity;
+    // The relay may have failed before it forwarded its latest changes.
+    if (!follower.isFollowing()) lastFullReadAt = -Infinity;
   }
 
-  async function waitAfter(failure: StoreFailure): Promise<void> {
+  async function backOff(failure: StoreFailure): Promise<void> {
     failures += 1;
-    // A watch that fell silent, or was cut, says nothing of what it missed.
-    readAllAt = -Infinity;
+    // Changes may have been missed while the watch failed.
+    lastFullReadAt = -Infinity;
     if (failures === 1) {
-      failedAt = performance.now();
+      firstFailureAt = performance.now();
       const detail = "detail" in failure ? failure.detail : "";
       logger.warn("store_away", { prefix, kind: failure.kind, detail });
     }
-    await pause(fullJitterMs(failures, JITTER), signal);
+    await pause(fullJitterMs(failures, RETRY_BACKOFF), signal);
   }
 
-  function take(object: StoredObject): void {
-    clearTimeout(missing.get(object.key));
-    missing.delete(object.key);
-    const last = known.get(object.key)?.version ?? -Infinity;
-    if (object.version <= last) return;
-    known.set(object.key, object);
+  function applyObject(object: StoredObject): void {
+    clearTimeout(removalTimers.get(object.key));
+    removalTimers.delete(object.key);
+    const lastVersion = objectsByKey.get(object.key)?.version ?? -Infinity;
+    if (object.version <= lastVersion) return;
+    objectsByKey.set(object.key, object);
     log.put(object.key);
     options.onObject(object);
   }
 
-  function missOthers(objects: readonly StoredObject[]): void {
-    const there = new Set(objects.map(({ key }) => key));
-    for (const key of known.keys()) if (!there.has(key)) miss(key);
+  function scheduleRemovalOfOthers(objects: readonly StoredObject[]): void {
+    const presentKeys = new Set(objects.map(({ key }) => key));
+    for (const key of objectsByKey.keys())
+      if (!presentKeys.has(key)) scheduleRemoval(key);
   }
 
-  function miss(key: string): void {
-    if (!known.has(key) || missing.has(key)) return;
-    // While the store is away, only a peer can tell that an entry is missing:
-    // it may have lapsed behind the cut that keeps the store away from here.
-    const seenFrom = failures > 0 ? performance.now() : returnedAt;
-    const graceMs = seenFrom + RETURN_GRACE_MS - performance.now();
-    if (graceMs <= 0) return drop(key);
-    missing.set(
+  function scheduleRemoval(key: string): void {
+    if (!objectsByKey.has(key) || removalTimers.has(key)) return;
+    // During an outage only a peer reports missing entries. They may have
+    // expired because of the same partition that cuts this instance off, so
+    // the grace period starts now rather than at the last recovery.
+    const graceStartsAt = failures > 0 ? performance.now() : recoveredAt;
+    const graceMs = graceStartsAt + REMOVAL_GRACE_MS - performance.now();
+    if (graceMs <= 0) return removeObject(key);
+    removalTimers.set(
       key,
-      setTimeout(() => drop(key), graceMs),
+      setTimeout(() => removeObject(key), graceMs),
     );
   }
 
-  function drop(key: string): void {
-    missing.delete(key);
-    known.delete(key);
+  function removeObject(key: string): void {
+    removalTimers.delete(key);
+    objectsByKey.delete(key);
     log.put(key);
     options.onRemoved?.(key);
   }
@@ -192,21 +207,21 @@
   return {
     prefix,
     log,
-    revision: () => since,
-    objects: () => [...known.values()],
+    revision: () => currentRevision,
+    objects: () => [...objectsByKey.values()],
     takeFromPeer({ revision, objects }) {
-      if (revision <= since) return;
-      since = revision;
-      for (const object of objects) take(object);
-      missOthers(objects);
+      if (revision <= currentRevision) return;
+      currentRevision = revision;
+      for (const object of objects) applyObject(object);
+      scheduleRemovalOfOthers(objects);
     },
     takeFromRelay({ isWhole, objects, removed }, ageMs) {
-      answeredAt = Math.max(answeredAt, performance.now() - ageMs);
-      for (const object of objects) take(object);
-      for (const key of removed) miss(key);
-      if (isWhole) missOthers(objects);
+      lastAnswerAt = Math.max(lastAnswerAt, performance.now() - ageMs);
+      for (const object of objects) applyObject(object);
+      for (const key of removed) scheduleRemoval(key);
+      if (isWhole) scheduleRemovalOfOthers(objects);
     },
-    ageMs: () => performance.now() - answeredAt,
-    awayMs: () => (failures > 0 ? performance.now() - failedAt : 0),
+    ageMs: () => performance.now() - lastAnswerAt,
+    awayMs: () => (failures > 0 ? performance.now() - firstFailureAt : 0),
   };
 }
--- a/packages/gateway/src/following/object_mirror_test.ts
+++ b/packages/gateway/src/following/object_mirror_test.ts
@@ -11,32 +11,32 @@
 
 type Answer = StoreResult<WatchBatch>;
 
-/** A store whose watches answer as the test says, one after the other. */
+/** A store whose pending watches the test answers in order. */
 function setUp() {
-  const waiting: ((answer: Answer) => void)[] = [];
-  const asked: number[] = [];
+  const pendingWatches: ((answer: Answer) => void)[] = [];
+  const watchedRevisions: number[] = [];
   const store = {
     watch: (_prefix: string, { since }: { since: number }) => {
-      asked.push(since);
-      return new Promise<Answer>((resolve) => waiting.push(resolve));
+      watchedRevisions.push(since);
+      return new Promise<Answer>((resolve) => pendingWatches.push(resolve));
     },
   } as unknown as ObjectStore;
   const events: string[] = [];
-  const ending = new AbortController();
+  const abortController = new AbortController();
   const mirror = startObjectMirror({
     store,
     prefix: "k/",
-    signal: ending.signal,
+    signal: abortController.signal,
     onObject: ({ key, version }) => events.push(`${key}@${version}`),
     onRemoved: (key) => events.push(`${key} gone`),
   });
   return {
     mirror,
     events,
-    asked,
-    end: () => ending.abort(),
+    watchedRevisions,
+    end: () => abortController.abort(),
     async answer(answer: Answer) {
-      waiting.shift()?.(answer);
+      pendingWatches.shift()?.(answer);
       await vi.advanceTimersByTimeAsync(0);
     },
   };
@@ -56,10 +56,10 @@
   };
 }
 
-const away: Answer = { kind: "unavailable", detail: "down" };
+const storeFailure: Answer = { kind: "unavailable", detail: "down" };
 
-describe("a mirror of objects", () => {
-  it("passes each version on once, and never an older one", async () => {
+describe("object mirror", () => {
+  it("reports each version once and ignores older ones", async () => {
     const { events, answer, end } = setUp();
     await answer(batch([["k/a", 5]], { isWhole: true }));
     await answer(batch([["k/a", 4]]));
@@ -71,15 +71,15 @@
     end();
   });
 
-  it("never goes on from before where it was", async () => {
-    const { asked, answer, end } = setUp();
+  it("never watches from an older revision than it has seen", async () => {
+    const { watchedRevisions, answer, end } = setUp();
     await answer(batch([], { revision: 9, isWhole: true }));
     await answer(batch([], { revision: 7 }));
-    expect(asked).toEqual([0, 9, 9]);
+    expect(watchedRevisions).toEqual([0, 9, 9]);
     end();
   });
 
-  it("tells at once what was removed while the store worked", async () => {
+  it("reports a removal at once while the store is reachable", async () => {
     const { events, answer, end } = setUp();
     await answer(batch([["k/a", 5]], { isWhole: true }));
     await answer(batch([], { removed: ["k/a"] }));
@@ -87,10 +87,10 @@
     end();
   });
 
-  it("waits for entries that lapsed in an outage to come back", async () => {
-    // The store is away for seconds and lets servers' entries lapse. When it
-    // is back, live servers write theirs again within two seconds; dropping
-    // all of them at the first list would leave nothing to send requests to.
+  it("keeps entries that expired during an outage for a grace period", async () => {
+    // Servers' entries expire during an outage of the store, and live servers
+    // rewrite them within two seconds after it. Removing all missing entries at
+    // the first full read would leave no server to send requests to.
     const { events, answer, end } = setUp();
     await answer(
       batch(
@@ -102,7 +102,7 @@
       ),
     );
     events.length = 0;
-    await answer(away);
+    await answer(storeFailure);
     await vi.advanceTimersByTimeAsync(1_000);
     await answer(batch([], { isWhole: true }));
     expect(events).toEqual([]);
@@ -113,15 +113,15 @@
     end();
   });
 
-  it("waits for entries that a peer has seen lapse during a cut", async () => {
-    // A failure domain is cut off, and its servers' entries lapse in the
-    // store. When the cut heals, a peer tells that they are gone before the
-    // store is read again here. All servers of the domain were dropped at
-    // once, though they lived and were in use, and its callers were refused
-    // until each had written its entry anew.
+  it("keeps entries for a grace period when a peer reports them missing during an outage", async () => {
+    // A partition cuts a failure domain off, and its servers' entries expire
+    // in the store. When it heals, a peer may report them as missing before
+    // this instance reads the store. Without the grace period, all servers of
+    // the domain are removed although they are live, and its callers are
+    // refused until each server has rewritten its entry.
     const { mirror, events, answer, end } = setUp();
     await answer(batch([["k/a", 1]], { isWhole: true }));
-    await answer(away);
+    await answer(storeFailure);
     mirror.takeFromPeer({ revision: 9, objects: [] });
     await vi.advanceTimersByTimeAsync(2_000);
     expect(events).toEqual(["k/a@1"]);
@@ -131,7 +131,7 @@
     end();
   });
 
-  it("takes a peer's word for what is gone while its own watch works", async () => {
+  it("removes an entry that a peer lacks at once while its own watch works", async () => {
     const { mirror, events, answer, end } = setUp();
     await answer(batch([["k/a", 1]], { isWhole: true }));
     mirror.takeFromPeer({ revision: 9, objects: [] });
@@ -139,17 +139,17 @@
     end();
   });
 
-  it("gathers changes that follow each other closely", async () => {
-    const { asked, answer, events, end } = setUp();
+  it("delays the next watch during a burst of changes", async () => {
+    const { watchedRevisions, answer, events, end } = setUp();
     await answer(batch([["k/a", 1]], { revision: 1 }));
     await answer(batch([["k/a", 2]], { revision: 2 }));
     expect(events).toEqual(["k/a@1", "k/a@2"]);
-    expect(asked.length).toBe(2);
+    expect(watchedRevisions.length).toBe(2);
     await vi.advanceTimersByTimeAsync(250);
-    expect(asked.length).toBe(3);
+    expect(watchedRevisions.length).toBe(3);
     await vi.advanceTimersByTimeAsync(2_000);
     await answer(batch([["k/a", 3]], { revision: 3 }));
-    expect(asked.length).toBe(4);
+    expect(watchedRevisions.length).toBe(4);
     end();
   });
 });
--- /dev/null
+++ b/packages/gateway/src/following/peer_snapshots.ts
@@ -0,0 +1,99 @@
+/**
+ * Exchange of mirror contents between instances. An instance that can't reach
+ * the store gets the configuration and the list of backend servers from a peer.
+ */
+import type { PeerCaller, PeerMethods } from "@rosemarypin/membership";
+import type { Address } from "@rosemarypin/schemas";
+import { createLogger } from "@rosemarypin/telemetry";
+import { pause } from "@rosemarypin/timing";
+import { z } from "zod";
+import { storedObjectsSchema } from "./change_log.ts";
+import type { ObjectMirror } from "./object_mirror.ts";
+
+const SNAPSHOT_METHOD = "objects.since";
+/**
+ * How often an instance that can't reach the store calls a peer. A revoked key
+ * or a leaving server must take effect within two seconds; this allows a second
+ * attempt if the first peer is cut off as well.
+ */
+const REQUEST_INTERVAL_MS = 400;
+/** Peers are called only later, as the next store retry ends most failures. */
+const UNAVAILABLE_THRESHOLD_MS = 250;
+const CALL_TIMEOUT_MS = 350;
+
+const log = createLogger("peers");
+
+const snapshotRequestSchema = z.object({
+  prefix: z.string(),
+  revision: z.number(),
+});
+const snapshotSchema = z.object({
+  revision: z.number(),
+  objects: storedObjectsSchema,
+});
+
+/** Creates the RPC methods that serve this instance's mirrors to peers. */
+export function createSnapshotMethods(
+  mirrors: readonly ObjectMirror[],
+): PeerMethods {
+  return {
+    [SNAPSHOT_METHOD](params) {
+      const { prefix, revision } = snapshotRequestSchema.parse(params);
+      const mirror = mirrors.find((mirror) => mirror.prefix === prefix);
+      if (!mirror || mirror.revision() <= revision) return null;
+      return { revision: mirror.revision(), objects: mirror.objects() };
+    },
+  };
+}
+
+/**
+ * Starts to update mirrors from random peers while the store is unreachable,
+ * until the signal aborts.
+ */
+export function startPeerSnapshots(options: {
+  readonly mirrors: readonly ObjectMirror[];
+  readonly caller: PeerCaller;
+  readonly peers: () => readonly Address[];
+  readonly signal: AbortSignal;
+}): void {
+  const { mirrors, caller, peers, signal } = options;
+  void run();
+
+  async function run(): Promise<void> {
+    while (!signal.aborted) {
+      await pause(REQUEST_INTERVAL_MS, signal);
+      const disconnected = mirrors.filter(
+        (mirror) => mirror.awayMs() > UNAVAILABLE_THRESHOLD_MS,
+      );
+      await Promise.all(disconnected.map(requestSnapshot));
+    }
+  }
+
+  async function requestSnapshot(mirror: ObjectMirror): Promise<void> {
+    const addresses = peers();
+    const peer = addresses[Math.floor(Math.random() * addresses.length)];
+    if (!peer) return;
+    const { prefix } = mirror;
+    const params = { prefix, revision: mirror.revision() };
+    const timeoutMs = CALL_TIMEOUT_MS;
+    const response = await caller.call(peer, SNAPSHOT_METHOD, {
+      params,
+      timeoutMs,
+    });
+    if (response.kind !== "ok" || response.value === null) return;
+    const snapshot = snapshotSchema.safeParse(response.value);
+    if (!snapshot.success) {
+      const reason = z.prettifyError(snapshot.error);
+      log.warn("news_unreadable", { peer: peer.host, reason });
+      return;
+    }
+    if (snapshot.data.revision <= mirror.revision()) return;
+    log.info("news_from_peer", {
+      peer: peer.host,
+      prefix,
+      from: mirror.revision(),
+      to: snapshot.data.revision,
+    });
+    mirror.takeFromPeer(snapshot.data);
+  }
+}
--- a/packages/gateway/src/following/presence.ts
+++ b/packages/gateway/src/following/presence.ts
@@ -1,4 +1,7 @@
-/** Which instances live, by objects that each writes of itself. */
+/**
+ * Heartbeats of instances through the store: each instance renews an object of
+ * its own and treats others as live while their objects keep changing.
+ */
 import type { Address } from "@rosemarypin/schemas";
 import type { ObjectStore } from "@rosemarypin/store";
 import { createLogger } from "@rosemarypin/telemetry";
@@ -6,46 +9,43 @@
 import { z } from "zod";
 import type { DomainInstance } from "./relay_choice.ts";
 
-/** An instance that lives, by its own object. */
+/** Another instance whose heartbeat has not expired. */
 export interface LiveInstance extends DomainInstance {
   readonly failureDomain: string;
 }
 
-/** Kind of the objects, in the store's key space. */
+/** Prefix of the keys of presence objects in the store. */
 export const PRESENCE_PREFIX = "rosemarypin-instances/";
 /**
- * How often an instance renews its object. All share the store's rate of
- * writes: few of them renew often, so that the end of one is noticed soon, and
- * many renew seldom.
- */
-const RENEW_PER_INSTANCE_MS = 250;
-const SHORTEST_RENEWAL_MS = 2_000;
-const LONGEST_RENEWAL_MS = 8_000;
-/**
- * An object that stood still for so many renewals is of an instance that is
- * gone.
+ * The renewal interval is this times the number of instances, within bounds.
+ * The total rate of writes stays limited with many instances, and a failure is
+ * detected sooner with few.
  */
-const GONE_AFTER_RENEWALS = 2.5;
+const RENEWAL_INTERVAL_PER_INSTANCE_MS = 250;
+const MIN_RENEWAL_INTERVAL_MS = 2_000;
+const MAX_RENEWAL_INTERVAL_MS = 8_000;
+/** An instance counts as dead after this many intervals without a renewal. */
+const EXPIRY_RENEWALS = 2.5;
 /**
- * An instance that can't write, since the store turns it away, goes on to send
- * requests: for so long it counts among those that use its domain's engines.
- * Taken for gone sooner, those engines looked idle, and others filled them.
+ * How long an instance counts as a user of its domain's engines after its last
+ * renewal. An instance that can't write to the store still sends requests; with
+ * a shorter timeout its engines would look idle and be overloaded by others.
  */
-const COUNTED_FOR_MS = 10_000;
-/** Objects of instances that are gone are removed after this. */
-const REMOVE_AFTER_MS = 60_000;
+const SENDER_TIMEOUT_MS = 10_000;
+/** Objects without a renewal for this time are removed from the store. */
+const CLEANUP_AFTER_MS = 60_000;
 
-/** Assumed until the objects were read once. */
-const FIRST_COUNT = 8;
+/** Assumed until the first read of the objects succeeds. */
+const INITIAL_INSTANCE_COUNT = 8;
 
 const log = createLogger("presence");
 
 const presenceSchema = z.object({
   failureDomain: z.string(),
-  /** Start of the process, in Unix milliseconds. */
+  /** Start of the process in Unix milliseconds. */
   startedAt: z.number(),
   renewal: z.number(),
-  /** Where other instances reach it; `null` where they can't. */
+  /** Address for calls from other instances; `null` if it has none. */
   peer: z.object({ host: z.string(), port: z.number() }).nullable(),
   leaving: z.boolean(),
 });
@@ -54,47 +54,50 @@
 
 export interface Presence {
   /**
-   * Instances that live or may live: one that this instance has not heard of
-   * for a while may be cut off, and still send its part of the repeats.
+   * Number of instances that may be live, including this one. An instance with
+   * an expired heartbeat may only be cut off and still send retries.
    */
   countPossible(): number;
-  /** Other instances that may send requests from a failure domain. */
+  /** Names of other instances that may send requests in a failure domain. */
   othersIn(failureDomain: string): readonly string[];
-  /** Whether another live instance is in the failure domain. */
+  /** Whether a failure domain has another live instance. */
   hasOther(failureDomain: string): boolean;
-  /** Live instances whose names come first, in a domain or in all. */
+  /**
+   * Number of live instances whose name sorts before this one's, in one failure
+   * domain or, with `null`, in all.
+   */
   ahead(failureDomain: string | null): number;
-  /** All other instances that are known. */
+  /** All other instances, live or not, whose object exists. */
   others(): OtherInstance[];
-  /** Where other live instances are reached. */
+  /** Addresses of other live instances. */
   peers(): Address[];
   /** Other live instances. */
   liveOthers(): LiveInstance[];
-  /** Other live instances of the own failure domain. */
+  /** Other live instances in this instance's failure domain. */
   neighbours(): DomainInstance[];
-  /** Whether the store answers a small reading in time. */
+  /** Resolves to whether the store answers a small read in time. */
   probeStore(timeoutMs: number): Promise<boolean>;
-  /** Writes that this instance is about to stop. */
+  /** Announces that this instance is about to stop. */
   leave(): Promise<void>;
 }
 
-/** Another instance as its own object tells of it. */
+/** Another instance as described by its presence object. */
 export interface OtherInstance {
   readonly instance: string;
   readonly failureDomain: string;
   readonly leaving: boolean;
   readonly isLive: boolean;
-  /** Since its object was seen to change. */
+  /** Milliseconds since its object last changed. */
   readonly heardAgoMs: number;
 }
 
-interface Seen {
+interface ObservedPresence {
   readonly presence: PresenceObject;
   readonly version: number;
   readonly movedAt: number;
 }
 
-/** Starts to write this instance's object and to read the others'. */
+/** Starts to renew this instance's object and to read those of others. */
 export function startPresence(options: {
   readonly store: ObjectStore;
   readonly instance: string;
@@ -103,12 +106,12 @@
   readonly signal: AbortSignal;
 }): Presence {
   const { store, instance, failureDomain, peer, signal } = options;
-  const key = `${PRESENCE_PREFIX}${instance}`;
+  const ownKey = `${PRESENCE_PREFIX}${instance}`;
   const startedAt = Date.now();
-  const others = new Map<string, Seen>();
+  const observedByKey = new Map<string, ObservedPresence>();
   let renewal = 0;
   let hasRead = false;
-  let readAt = -Infinity;
+  let lastReadAt = -Infinity;
   let version: number | null = null;
   void run();
 
@@ -116,31 +119,35 @@
     while (!signal.aborted) {
       await write(false);
       await readOthers();
-      await pause(renewalMs(), signal);
+      await pause(renewalIntervalMs(), signal);
     }
   }
 
-  function renewalMs(): number {
-    const wantedMs = (others.size + 1) * RENEW_PER_INSTANCE_MS;
-    const leastMs = Math.max(SHORTEST_RENEWAL_MS, wantedMs);
-    return Math.min(LONGEST_RENEWAL_MS, leastMs);
+  function renewalIntervalMs(): number {
+    const wantedMs =
+      (observedByKey.size + 1) * RENEWAL_INTERVAL_PER_INSTANCE_MS;
+    const boundedMs = Math.max(MIN_RENEWAL_INTERVAL_MS, wantedMs);
+    return Math.min(MAX_RENEWAL_INTERVAL_MS, boundedMs);
   }
 
-  /** Judged by the time of the last reading; see `liveObjects`. */
-  function isLive({ movedAt }: Seen): boolean {
-    return readAt - movedAt < GONE_AFTER_RENEWALS * renewalMs();
+  /** Compares with the time of the last read; see `liveEntries`. */
+  function isLive({ movedAt }: ObservedPresence): boolean {
+    return lastReadAt - movedAt < EXPIRY_RENEWALS * renewalIntervalMs();
   }
 
-  function countedForMs(): number {
-    return Math.max(COUNTED_FOR_MS, GONE_AFTER_RENEWALS * renewalMs());
+  function senderTimeoutMs(): number {
+    return Math.max(SENDER_TIMEOUT_MS, EXPIRY_RENEWALS * renewalIntervalMs());
   }
 
   async function write(leaving: boolean): Promise<void> {
     renewal += 1;
     const value = { failureDomain, startedAt, renewal, peer, leaving };
-    const written = await store.write(key, value, { expectedVersion: version });
+    const written = await store.write(ownKey, value, {
+      expectedVersion: version,
+    });
     if (written.kind === "ok") version = written.value;
-    // An earlier life, or a write whose answer was lost: go on from there.
+    // An earlier process wrote the object, or a response was lost: the next
+    // write continues from the actual version.
     if (written.kind === "conflict") version = written.actual?.version ?? null;
   }
 
@@ -149,100 +156,106 @@
     if (listed.kind !== "ok") return;
     hasRead = true;
     const now = performance.now();
-    readAt = now;
+    lastReadAt = now;
     for (const object of listed.value) {
-      if (object.key === key) continue;
+      if (object.key === ownKey) continue;
       const parsed = presenceSchema.safeParse(object.value);
       if (!parsed.success) continue;
-      const last = others.get(object.key);
-      if (!last) log.info("instance_seen", { key: object.key });
-      const moved = last?.version !== object.version;
-      others.set(object.key, {
+      const previous = observedByKey.get(object.key);
+      if (!previous) log.info("instance_seen", { key: object.key });
+      const hasChanged = previous?.version !== object.version;
+      observedByKey.set(object.key, {
         presence: parsed.data,
         version: object.version,
-        movedAt: moved ? now : last.movedAt,
+        movedAt: hasChanged ? now : previous.movedAt,
       });
     }
-    const there = new Set(listed.value.map((object) => object.key));
-    for (const [other, seen] of others) {
-      if (!there.has(other)) others.delete(other);
-      else if (now - seen.movedAt > REMOVE_AFTER_MS) {
+    const listedKeys = new Set(listed.value.map((object) => object.key));
+    for (const [other, seen] of observedByKey) {
+      if (!listedKeys.has(other)) observedByKey.delete(other);
+      else if (now - seen.movedAt > CLEANUP_AFTER_MS) {
         await store.remove(other, { expectedVersion: seen.version });
-        others.delete(other);
+        observedByKey.delete(other);
         log.info("instance_forgotten", { key: other });
       }
     }
   }
 
   /**
-   * Judged by the time of the last reading: while the store is away nobody's
-   * object moves, and nobody is gone for that.
+   * Instances whose heartbeat has not expired. Ages are measured at the last
+   * successful read, so that no instance expires while the store is unreachable.
    */
-  function liveObjects(): [string, Seen][] {
-    return [...others]
+  function liveEntries(): [string, ObservedPresence][] {
+    return [...observedByKey]
       .filter(([, { presence }]) => !presence.leaving)
       .filter(([, seen]) => isLive(seen));
   }
 
-  function live(): PresenceObject[] {
-    return liveObjects().map(([, { presence }]) => presence);
+  function livePresences(): PresenceObject[] {
+    return liveEntries().map(([, { presence }]) => presence);
   }
 
   function liveOthers(): LiveInstance[] {
-    return liveObjects().map(([other, { presence }]) => ({
+    return liveEntries().map(([other, { presence }]) => ({
       instance: other.slice(PRESENCE_PREFIX.length),
       failureDomain: presence.failureDomain,
       peer: presence.peer,
     }));
   }
 
-  /** Others that may send requests from a domain, judged by the same time. */
-  function sendingIn(domain: string): string[] {
-    return [...others]
+  /**
+   * Other instances that may send requests in a domain. Ages are measured at
+   * the last successful read, as in `liveEntries`.
+   */
+  function possibleSendersIn(domain: string): string[] {
+    return [...observedByKey]
       .filter(
         ([, { presence, movedAt }]) =>
           presence.failureDomain === domain &&
           !presence.leaving &&
-          readAt - movedAt < countedForMs(),
+          lastReadAt - movedAt < senderTimeoutMs(),
       )
       .map(([other]) => other.slice(PRESENCE_PREFIX.length));
   }
 
   function countLiveIn(domain: string): number {
-    return live().filter((presence) => presence.failureDomain === domain)
-      .length;
+    return livePresences().filter(
+      (presence) => presence.failureDomain === domain,
+    ).length;
   }
 
   return {
     countPossible: () =>
       Math.max(
-        hasRead ? 1 : FIRST_COUNT,
+        hasRead ? 1 : INITIAL_INSTANCE_COUNT,
         1 +
-          [...others.values()].filter(({ presence }) => !presence.leaving)
-            .length,
+          [...observedByKey.values()].filter(
+            ({ presence }) => !presence.leaving,
+          ).length,
       ),
-    othersIn: sendingIn,
+    othersIn: possibleSendersIn,
     hasOther: (domain) => countLiveIn(domain) > 0,
     ahead: (domain) =>
-      liveObjects().filter(
+      liveEntries().filter(
         ([other, { presence }]) =>
-          other < key && (domain === null || presence.failureDomain === domain),
+          other < ownKey &&
+          (domain === null || presence.failureDomain === domain),
       ).length,
     others: () =>
-      [...others].map(([other, seen]) => ({
+      [...observedByKey].map(([other, seen]) => ({
         instance: other.slice(PRESENCE_PREFIX.length),
         failureDomain: seen.presence.failureDomain,
         leaving: seen.presence.leaving,
         isLive: isLive(seen),
         heardAgoMs: performance.now() - seen.movedAt,
       })),
-    peers: () => live().flatMap((presence) => presence.peer ?? []),
+    peers: () => livePresences().flatMap((presence) => presence.peer ?? []),
     liveOthers,
     neighbours: () =>
       liveOthers().filter((other) => other.failureDomain === failureDomain),
     async probeStore(timeoutMs) {
       const options = { mayBeStale: true, timeoutMs };
-      return (await store.read(key, options)).kind === "ok";
+      return (await store.read(ownKey, options)).kind === "ok";
     },
     leave: () => write(true),
   };
--- a/packages/gateway/src/following/relay_choice.ts
+++ b/packages/gateway/src/following/relay_choice.ts
@@ -1,40 +1,41 @@
-/** Chooses the instances of a failure domain through which others follow. */
+/** Chooses the instances of a failure domain that relay store changes. */
 import type { Address } from "@rosemarypin/schemas";
 
-/** Below this, following through others saves the store nothing. */
-const FEWEST_INSTANCES = 4;
-const FEWEST_RELAYS = 2;
-/** Instances for each relay, itself included. */
+/** With fewer instances, relays would save no calls of the store. */
+const MIN_INSTANCES_FOR_RELAYS = 4;
+const MIN_RELAYS = 2;
+/** Instances per relay, including the relay itself. */
 const INSTANCES_PER_RELAY = 8;
 
 export interface DomainInstance {
   readonly instance: string;
-  /** `null` where it can't be reached. */
+  /** Address for calls from other instances; `null` if it has none. */
   readonly peer: Address | null;
 }
 
 /**
- * The relays that an instance may follow, each beginning with another one, so
- * that followers are spread; none for a relay. All instances choose the same
- * ones, as far as they know of the same instances.
+ * Returns the relays that an instance may follow, in order of preference; none
+ * if the instance is a relay itself or the domain is small. Relays are the
+ * first instances by name, so all instances with the same view choose the same
+ * ones. Followers are spread by starting at different relays.
  */
 export function chooseRelays(
-  own: string,
+  ownInstance: string,
   others: readonly DomainInstance[],
 ): readonly Address[] {
-  const count = others.length + 1;
-  if (count < FEWEST_INSTANCES) return [];
-  const names = [own, ...others.map(({ instance }) => instance)].sort();
+  const instanceCount = others.length + 1;
+  if (instanceCount < MIN_INSTANCES_FOR_RELAYS) return [];
+  const names = [ownInstance, ...others.map(({ instance }) => instance)].sort();
   const relayCount = Math.max(
-    FEWEST_RELAYS,
-    Math.ceil(count / INSTANCES_PER_RELAY),
+    MIN_RELAYS,
+    Math.ceil(instanceCount / INSTANCES_PER_RELAY),
   );
-  const rank = names.indexOf(own);
-  if (rank < relayCount) return [];
+  const ownRank = names.indexOf(ownInstance);
+  if (ownRank < relayCount) return [];
   const relays = names.slice(0, relayCount).flatMap((name) => {
     const relay = others.find(({ instance }) => instance === name);
     return relay?.peer ?? [];
   });
-  const from = rank % Math.max(1, relays.length);
-  return [...relays.slice(from), ...relays.slice(0, from)];
+  const preferredIndex = ownRank % Math.max(1, relays.length);
+  return [...relays.slice(preferredIndex), ...relays.slice(0, preferredIndex)];
 }
--- a/packages/gateway/src/following/relay_choice_test.ts
+++ b/packages/gateway/src/following/relay_choice_test.ts
@@ -8,35 +8,35 @@
   }));
 }
 
-/** Hosts of the relays that each of so many instances follows. */
-function choices(count: number): string[][] {
+/** Hosts of the relays that each of `count` instances may follow. */
+function relayHostsByInstance(count: number): string[][] {
   const all = instancesOf(count);
   return all.map(({ instance }) => {
-    const others = all.filter((one) => one.instance !== instance);
+    const others = all.filter((other) => other.instance !== instance);
     return chooseRelays(instance, others).map(({ host }) => host);
   });
 }
 
-describe("the choice of relays", () => {
-  it("is none among few instances", () => {
-    expect(choices(3).flat()).toEqual([]);
+describe("relay choice", () => {
+  it("selects no relays among few instances", () => {
+    expect(relayHostsByInstance(3).flat()).toEqual([]);
   });
 
-  it("is the same two for all others, beginning in turn", () => {
-    expect(choices(6)).toMatchSnapshot();
+  it("gives all followers the same two relays, starting in turn", () => {
+    expect(relayHostsByInstance(6)).toMatchSnapshot();
   });
 
-  it("has one relay for eight instances, each with as many followers", () => {
-    const followed = choices(42).flatMap(([first]) => first ?? []);
+  it("selects one relay per eight instances with equally many followers", () => {
+    const followed = relayHostsByInstance(42).flatMap(([first]) => first ?? []);
     const counts = new Map<string, number>();
     for (const host of followed) counts.set(host, (counts.get(host) ?? 0) + 1);
     expect(followed.length).toBe(36);
     expect([...counts.values()]).toEqual([6, 6, 6, 6, 6, 6]);
   });
 
-  it("leaves relays out that can't be reached", () => {
-    const others = instancesOf(5).map((one, index) =>
-      index === 0 ? { ...one, peer: null } : one,
+  it("skips relays without an address", () => {
+    const others = instancesOf(5).map((other, index) =>
+      index === 0 ? { ...other, peer: null } : other,
     );
     expect(chooseRelays("z", others)).toEqual([{ host: "10.0.0.1", port: 1 }]);
   });
--- a/packages/gateway/src/following/relay_follower.ts
+++ b/packages/gateway/src/following/relay_follower.ts
@@ -1,7 +1,7 @@
 /**
- * Follows the store through a relay: an instance that reads the store itself
- * and passes its own copy on. Where the relay is silent, or has not heard of
- * the store lately, the follower turns to the store.
+ * Follows the store through a relay: an instance that watches the store and
+ * forwards its own copy. If the relay does not answer, or its copy is stale,
+ * the mirrors read the store directly until another relay can be followed.
  */
 import type { PeerCaller } from "@rosemarypin/membership";
 import { type Address, formatAddress } from "@rosemarypin/schemas";
@@ -11,36 +11,36 @@
 import type { ObjectMirror, RelayFollower } from "./object_mirror.ts";
 import {
   FOLLOW_METHOD,
-  HOLD_MS,
-  newsSchema,
-  type RelayNews,
+  type FollowResponse,
+  followResponseSchema,
+  LONG_POLL_TIMEOUT_MS,
 } from "./relay_protocol.ts";
 
-/** Beyond the hold, for the way and a busy relay. */
-const MARGIN_MS = 250;
+/** Added to the long poll's duration for network delay and a busy relay. */
+const NETWORK_MARGIN_MS = 250;
 /**
- * A relay that has not heard of the store for so long is passed over. With the
- * hold before it is noticed, news is at most 1.6 s old then, and the store is
- * asked at once.
+ * A relay whose copy is older than this is abandoned. Together with the long
+ * poll, the follower's copy is at most 1.6 s old by then, and the store is read
+ * immediately.
  */
-const MOST_AGE_MS = 1_000;
-/** Pause before the next relay is tried, doubled with each that failed. */
-const FIRST_PAUSE_MS = 1_000;
-const LONGEST_PAUSE_MS = 16_000;
-/** How often an instance without a relay looks whether there is one. */
-const LOOK_EVERY_MS = 500;
+const MAX_STALENESS_MS = 1_000;
+/** Delay before the next relay is tried; doubles with each failure. */
+const INITIAL_RETRY_DELAY_MS = 1_000;
+const MAX_RETRY_DELAY_MS = 16_000;
+/** How often an instance without a relay checks for one. */
+const RELAY_CHECK_INTERVAL_MS = 500;
 
 const log = createLogger("peers");
 
 export interface RelayFollowerOptions {
   readonly mirrors: () => readonly ObjectMirror[];
   readonly caller: PeerCaller;
-  /** Relays to follow, the preferred one first; none for a relay itself. */
+  /** Relays to follow, in order of preference; empty if this is a relay. */
   readonly relays: () => readonly Address[];
   readonly signal: AbortSignal;
 }
 
-/** Starts to follow relays where there are some; ends with the signal. */
+/** Starts to follow relays as they are available, until the signal aborts. */
 export function startRelayFollower(
   options: RelayFollowerOptions,
 ): RelayFollower {
@@ -52,47 +52,49 @@
 
   async function run(): Promise<void> {
     while (!signal.aborted) {
-      const choices = relays();
-      const relay = choices[failures % Math.max(1, choices.length)];
+      const candidates = relays();
+      const relay = candidates[failures % Math.max(1, candidates.length)];
       if (!relay) {
-        stop();
-        await pause(LOOK_EVERY_MS, signal);
+        endFollowing();
+        await pause(RELAY_CHECK_INTERVAL_MS, signal);
         continue;
       }
       const reason = await follow(relay);
-      stop();
+      endFollowing();
       if (signal.aborted) return;
       log.info("relay_passed_over", { peer: relay.host, reason });
-      await pause(pauseMs(), signal);
+      await pause(retryDelayMs(), signal);
       failures += 1;
     }
   }
 
-  function pauseMs(): number {
-    const wholeMs = FIRST_PAUSE_MS * 2 ** Math.min(failures, 4);
-    return Math.min(LONGEST_PAUSE_MS, wholeMs) * (0.5 + Math.random() / 2);
+  function retryDelayMs(): number {
+    const delayMs = INITIAL_RETRY_DELAY_MS * 2 ** Math.min(failures, 4);
+    return Math.min(MAX_RETRY_DELAY_MS, delayMs) * (0.5 + Math.random() / 2);
   }
 
-  function stop(): void {
+  function endFollowing(): void {
     following = false;
     for (const listener of [...listeners]) listener();
   }
 
-  /** Follows one relay for as long as it is of use; gives the reason why not. */
+  /** Follows one relay until it fails; resolves to the reason. */
   async function follow(relay: Address): Promise<string> {
     const positions = new Map<string, ChangePosition>();
-    while (!signal.aborted && isChosen(relay)) {
-      const news = await ask(relay, positions);
-      if (typeof news === "string") return news;
-      if (news.ageMs > MOST_AGE_MS) return "store_not_heard_of";
-      for (const changes of news.changes) {
+    while (!signal.aborted && isCandidate(relay)) {
+      const response = await requestChanges(relay, positions);
+      if (typeof response === "string") return response;
+      if (response.ageMs > MAX_STALENESS_MS) return "store_not_heard_of";
+      for (const changes of response.changes) {
         positions.set(changes.prefix, changes.position);
         mirrors()
           .find(({ prefix }) => prefix === changes.prefix)
-          ?.takeFromRelay(changes, news.ageMs);
+          ?.takeFromRelay(changes, response.ageMs);
       }
-      const isKnown = mirrors().every(({ prefix }) => positions.has(prefix));
-      if (!isKnown) return "prefix_unknown";
+      const hasEveryPrefix = mirrors().every(({ prefix }) =>
+        positions.has(prefix),
+      );
+      if (!hasEveryPrefix) return "prefix_unknown";
       if (!following) log.info("relay_followed", { peer: relay.host });
       following = true;
       failures = 0;
@@ -100,26 +102,26 @@
     return "no_relay_any_more";
   }
 
-  function isChosen(relay: Address): boolean {
+  function isCandidate(relay: Address): boolean {
     return relays().map(formatAddress).includes(formatAddress(relay));
   }
 
-  async function ask(
+  async function requestChanges(
     relay: Address,
-    known: ReadonlyMap<string, ChangePosition>,
-  ): Promise<RelayNews | string> {
-    const holdMs = known.size === 0 ? 0 : HOLD_MS;
+    lastPositions: ReadonlyMap<string, ChangePosition>,
+  ): Promise<FollowResponse | string> {
+    const holdMs = lastPositions.size === 0 ? 0 : LONG_POLL_TIMEOUT_MS;
     const positions = mirrors().map(({ prefix }) => ({
       prefix,
-      position: known.get(prefix) ?? null,
+      position: lastPositions.get(prefix) ?? null,
     }));
-    const answer = await caller.call(relay, FOLLOW_METHOD, {
+    const response = await caller.call(relay, FOLLOW_METHOD, {
       params: { holdMs, positions },
-      timeoutMs: holdMs + MARGIN_MS,
+      timeoutMs: holdMs + NETWORK_MARGIN_MS,
     });
-    if (answer.kind !== "ok") return answer.kind;
-    const news = newsSchema.safeParse(answer.value);
-    return news.success ? news.data : "unreadable";
+    if (response.kind !== "ok") return response.kind;
+    const parsed = followResponseSchema.safeParse(response.value);
+    return parsed.success ? parsed.data : "unreadable";
   }
 
   return {
--- a/packages/gateway/src/following/relay_protocol.ts
+++ b/packages/gateway/src/following/relay_protocol.ts
@@ -1,20 +1,20 @@
-/** What a follower asks of a relay, and what it is told. */
+/** Request and response of the call by which a follower polls a relay. */
 import { z } from "zod";
 import { positionSchema, storedObjectsSchema } from "./change_log.ts";
 
 export const FOLLOW_METHOD = "objects.follow";
-/** How long a relay holds a call without news. */
-export const HOLD_MS = 600;
+/** Longest time that a relay delays its response while nothing changes. */
+export const LONG_POLL_TIMEOUT_MS = 600;
 
-export const askSchema = z.object({
-  holdMs: z.number().min(0).max(HOLD_MS),
+export const followRequestSchema = z.object({
+  holdMs: z.number().min(0).max(LONG_POLL_TIMEOUT_MS),
   positions: z.array(
     z.object({ prefix: z.string(), position: positionSchema.nullable() }),
   ),
 });
 
-export const newsSchema = z.object({
-  /** Since the store last answered the relay. */
+export const followResponseSchema = z.object({
+  /** Milliseconds since the store last answered the relay. */
   ageMs: z.number().nonnegative(),
   changes: z.array(
     z.object({
@@ -27,6 +27,6 @@
   ),
 });
 
-export type RelayAsk = z.infer<typeof askSchema>;
+export type FollowRequest = z.infer<typeof followRequestSchema>;
 
-export type RelayNews = z.infer<typeof newsSchema>;
+export type FollowResponse = z.infer<typeof followResponseSchema>;
--- a/packages/gateway/src/following/store_following.ts
+++ b/packages/gateway/src/following/store_following.ts
@@ -1,4 +1,4 @@
-/** Keeps copies of parts of the store current, in all ways that there are. */
+/** Keeps mirrors of store prefixes current by watches, relays and peers. */
 import { createPeerCaller, startPeerServer } from "@rosemarypin/membership";
 import type { ObjectStore } from "@rosemarypin/store";
 import type { ListenAddress } from "../settings.ts";
@@ -8,12 +8,12 @@
   type ObjectMirrorOptions,
   startObjectMirror,
 } from "./object_mirror.ts";
-import { peerNewsMethods, startPeerNews } from "./peer_news.ts";
+import { createSnapshotMethods, startPeerSnapshots } from "./peer_snapshots.ts";
 import { type Presence, startPresence } from "./presence.ts";
 import { chooseRelays } from "./relay_choice.ts";
 import { startRelayFollower } from "./relay_follower.ts";
 
-/** A prefix of the store, and who is told of its objects. */
+/** A prefix of the store with the callbacks for changes of its objects. */
 export type FollowedPrefix = Pick<
   ObjectMirrorOptions,
   "prefix" | "onObject" | "onRemoved"
@@ -21,7 +21,7 @@
 
 export interface StoreFollowing {
   readonly presence: Presence;
-  /** One for each prefix, in their order. */
+  /** One for each prefix, in the order of `prefixes`. */
   readonly mirrors: readonly ObjectMirror[];
 }
 
@@ -29,16 +29,19 @@
   readonly store: ObjectStore;
   readonly instance: string;
   readonly failureDomain: string;
-  /** Where other instances reach this one; without it each is on its own. */
+  /**
+   * Address for calls from other instances; `null` disables relays and updates
+   * from peers.
+   */
   readonly peers: ListenAddress | null;
   readonly prefixes: readonly FollowedPrefix[];
   readonly signal: AbortSignal;
 }
 
 /**
- * Starts to follow the store: through a relay where the failure domain has
- * some, by watches of its own else, and from peers while the store turns this
- * instance away. Ends with the signal.
+ * Starts to mirror the prefixes: through a relay if the failure domain has one,
+ * otherwise by watches, and from peers while the store is unreachable. Stops
+ * when the signal aborts.
  */
 export async function startStoreFollowing({
   store,
@@ -57,7 +60,7 @@
   });
   const mirrors: ObjectMirror[] = [];
   const caller = peers ? createPeerCaller(peers.host) : null;
-  const relay =
+  const relayFollower =
     caller &&
     startRelayFollower({
       mirrors: () => mirrors,
@@ -66,18 +69,21 @@
       signal,
     });
   for (const prefix of prefixes) {
-    const followed = relay ? { ...prefix, relay } : prefix;
-    mirrors.push(startObjectMirror({ ...followed, store, signal }));
+    const source = relayFollower ? { ...prefix, relay: relayFollower } : prefix;
+    mirrors.push(startObjectMirror({ ...source, store, signal }));
   }
   if (peers && caller) {
-    const followers = createChangeRelay({
+    const changeRelay = createChangeRelay({
       mirrors: () => mirrors,
       probeStore: presence.probeStore,
       signal,
     });
-    const methods = { ...peerNewsMethods(mirrors), ...followers.methods };
+    const methods = {
+      ...createSnapshotMethods(mirrors),
+      ...changeRelay.methods,
+    };
     await startPeerServer(peers, methods);
-    startPeerNews({ mirrors, caller, peers: presence.peers, signal });
+    startPeerSnapshots({ mirrors, caller, peers: presence.peers, signal });
   }
   return { presence, mirrors };
 }
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** Wires one instance that forwards requests by the platform's protocols. */
+/** Assembles, starts and stops one gateway instance. */
 import { once, setMaxListeners } from "node:events";
 import type { Server } from "node:http";
 import { createUdpTransport } from "@rosemarypin/membership";
@@ -38,20 +38,20 @@
   startUseExchange,
 } from "./streams/mod.ts";
 
-/** Kept back of the grace time, so that the process ends by itself. */
-const STOP_MARGIN_MS = 400;
-const STOP_STEP_MS = 50;
-/** For connections that stand while their request is still on its way. */
-const LAST_CONNECTIONS_MS = 300;
+/** Reserved at the end of the grace period to exit before being killed. */
+const SHUTDOWN_MARGIN_MS = 400;
+const SHUTDOWN_POLL_MS = 50;
+/** Extra time for open connections on which a request may be in transit. */
+const CONNECTION_DRAIN_MS = 300;
 
 const log = createLogger("gateway");
 
 export interface Gateway {
-  /** Ends gracefully: no request in progress is cut before the grace time. */
+  /** Stops gracefully: requests in progress may use the grace period. */
   stop(): Promise<void>;
 }
 
-/** Starts an instance; resolves once it listens. */
+/** Starts an instance; resolves once it listens on all addresses. */
 export async function startGateway(
   settings: GatewaySettings,
   platform: Platform,
@@ -60,7 +60,8 @@
   const { store, keys, codec, engines } = platform;
   const ending = new AbortController();
   const { signal } = ending;
-  // Each wait listens to it: one for each suspected server, and some more.
+  // Each pending wait adds a listener, among others one per suspected server,
+  // so their number may exceed the default limit.
   setMaxListeners(0, signal);
   let stoppedAt: number | null = null;
 
@@ -74,10 +75,10 @@
     failureDomain,
     peers: settings.peers,
     prefixes: [
-      { prefix: keys.configurations, onObject: takeConfiguration },
+      { prefix: keys.configurations, onObject: applyConfiguration },
       {
         prefix: keys.servers,
-        onObject: takeServer,
+        onObject: applyServer,
         onRemoved: (key) => fleet.remove(key.slice(keys.servers.length)),
       },
     ],
@@ -85,7 +86,7 @@
   });
   const [configurations, servers] = mirrors;
   if (!configurations || !servers) throw new Error("a prefix has no mirror");
-  const right = createOrderingRight({
+  const orderingRight = createOrderingRight({
     store,
     instance,
     failureDomain,
@@ -97,19 +98,19 @@
     presence.countPossible,
   );
   const exchange = createBackendExchange();
-  const choice = createServerChoice({ fleet, failureDomain });
-  const use = createEngineUse();
+  const serverChoice = createServerChoice({ fleet, failureDomain });
+  const engineUse = createEngineUse();
   const router = createPipelineRouter({
     fleet,
     failureDomain,
-    use,
+    use: engineUse,
     othersIn: presence.othersIn,
   });
   if (settings.peers) {
     startUseExchange({
       transport: await createUdpTransport(settings.peers),
       instance,
-      use,
+      use: engineUse,
       peers: () => chooseToldPeers(failureDomain, presence.liveOthers()),
       signal,
     });
@@ -120,7 +121,7 @@
     fleet,
     engines,
     signal,
-    rightFor: (domain) => right.forDomain(domain),
+    rightFor: (domain) => orderingRight.forDomain(domain),
   });
   const metrics = createGatewayMetrics({
     inProgress: () => listener.inProgress(),
@@ -141,13 +142,13 @@
     onEnded: metrics.countEnd,
   });
 
-  function takeConfiguration({ key, value }: StoredObject): void {
+  function applyConfiguration({ key, value }: StoredObject): void {
     if (key !== keys.configuration) return;
     const configuration = platform.decodeConfiguration(value);
     if (configuration) keeper.offer(configuration);
   }
 
-  function takeServer({ key, value }: StoredObject): void {
+  function applyServer({ key, value }: StoredObject): void {
     const id = key.slice(keys.servers.length);
     const server = platform.decodeServer(id, value);
     if (typeof server === "string") {
@@ -157,11 +158,11 @@
 
   function forward(call: CallerCall): Promise<CallEnd> {
     budget.countRequest(call.service.name);
-    const parts = { codec, exchange, fleet, budget };
+    const dependencies = { codec, exchange, fleet, budget };
     if (call.service.engine) {
-      return forwardStream(call, { ...parts, router, stalls, engines });
+      return forwardStream(call, { ...dependencies, router, stalls, engines });
     }
-    return forwardPlain(call, { ...parts, choice });
+    return forwardPlain(call, { ...dependencies, choice: serverChoice });
   }
 
   const readiness = createReadinessServer({
@@ -197,30 +198,34 @@
     if (stoppedAt !== null) return;
     const startedAt = performance.now();
     stoppedAt = startedAt;
-    const passedMs = () => performance.now() - startedAt;
+    const elapsedMs = () => performance.now() - startedAt;
     log.info("stopping", { in_progress: listener.inProgress() });
     void presence.leave();
-    void right.release();
-    const mostMs = settings.graceMs - STOP_MARGIN_MS;
-    const isQuiet = () => listener.inProgress() === 0;
-    // Connections are kept meanwhile: the next request on one is answered, and
-    // told to close it. Closed by us, it could be met by a request on its way.
-    while (passedMs() < mostMs) {
-      if (isQuiet() && passedMs() > TAKEN_AFTER_STOP_MS) break;
-      await pause(STOP_STEP_MS);
+    void orderingRight.release();
+    const drainLimitMs = settings.graceMs - SHUTDOWN_MARGIN_MS;
+    const isIdle = () => listener.inProgress() === 0;
+    // Idle connections stay open meanwhile, and the next response on each asks
+    // the caller to close it. Closing one here could drop a request in transit.
+    while (elapsedMs() < drainLimitMs) {
+      if (isIdle() && elapsedMs() > TAKEN_AFTER_STOP_MS) break;
+      await pause(SHUTDOWN_POLL_MS);
     }
     listener.server.close();
-    const lastsMs = Math.min(passedMs() + LAST_CONNECTIONS_MS, mostMs);
-    while (passedMs() < lastsMs && (await countConnections()) > 0) {
+    const connectionLimitMs = Math.min(
+      elapsedMs() + CONNECTION_DRAIN_MS,
+      drainLimitMs,
+    );
+    while (elapsedMs() < connectionLimitMs && (await countConnections()) > 0) {
       listener.server.closeIdleConnections();
-      await pause(STOP_STEP_MS);
+      await pause(SHUTDOWN_POLL_MS);
     }
-    while (passedMs() < mostMs && !isQuiet()) await pause(STOP_STEP_MS);
+    while (elapsedMs() < drainLimitMs && !isIdle())
+      await pause(SHUTDOWN_POLL_MS);
     const cut = listener.inProgress();
-    // Nothing is taken any more while the last lines of the log are written.
+    // No request may be accepted while the last log lines are written.
     listener.server.closeAllConnections();
     ending.abort();
-    log.info("stopped", { cut, after_ms: passedMs().toFixed(0) });
+    log.info("stopped", { cut, after_ms: elapsedMs().toFixed(0) });
   }
 
   function countConnections(): Promise<number> {
--- a/packages/gateway/src/import_order_test.ts
+++ b/packages/gateway/src/import_order_test.ts
@@ -2,7 +2,7 @@
 import { fileURLToPath } from "node:url";
 import { expect, it } from "vitest";
 
-/** Folders in the order in which they may use each other: earlier ones only. */
+/** Folders in dependency order: each may import from earlier ones only. */
 const FOLDERS = [
   "following",
   "backends",
@@ -27,7 +27,7 @@
 }
 
 it.each(FOLDERS)(
-  "%s uses earlier folders only, by their entry files",
+  "folder %s imports only from the mod.ts of earlier folders",
   (folder) => {
     const allowed = FOLDERS.slice(0, FOLDERS.indexOf(folder));
     const wrong = filesOf(folder).flatMap((file) =>
@@ -41,7 +41,7 @@
   },
 );
 
-it("knows all folders", () => {
+it("import order covers every folder", () => {
   const path = fileURLToPath(new URL(".", import.meta.url));
   const folders = readdirSync(path, { withFileTypes: true })
     .filter((entry) => entry.isDirectory())
--- a/packages/gateway/src/mod.ts
+++ b/packages/gateway/src/mod.ts
@@ -1,4 +1,4 @@
-/** Forwards requests to backend servers by the configuration in force. */
+/** Routes requests to backend servers according to the configuration. */
 export * from "./backend_server.ts";
 export { createTimedConnector } from "./backends/mod.ts";
 export * from "./configuration.ts";
--- a/packages/gateway/src/protocol.ts
+++ b/packages/gateway/src/protocol.ts
@@ -1,54 +1,56 @@
 /**
- * What the gateway needs of the protocols around it. An adapter translates
- * names and formats both ways; the gateway decides.
+ * Interfaces to the protocols of callers, backend servers and engines. An
+ * adapter translates headers and bodies and leaves decisions to the gateway.
  */
 import type { IncomingHttpHeaders } from "node:http";
 import type { LayerRange, Stage } from "@rosemarypin/pipelines";
 import type { BackendServer, EngineReport } from "./backend_server.ts";
 
-/** What a request's headers say. */
+/** Values decoded from the headers of a request; `null` if absent. */
 export interface RequestFacts {
   readonly requestId: string | null;
-  /** How long the caller waits, in milliseconds; `null` if not told. */
+  /** How long the caller waits, in milliseconds. */
   readonly deadlineMs: number | null;
+  /** Key that identifies the organisation. */
   readonly key: string | null;
   readonly promptTokens: number | null;
   readonly mostAnswerTokens: number | null;
-  /** What the caller expects; right on the average, far off for some. */
+  /** Caller's estimate: unbiased on average, but inaccurate for some requests. */
   readonly expectedAnswerTokens: number | null;
-  /** The event after which a stream is to go on. */
+  /** ID of the event after which the stream should resume. */
   readonly lastEventId: string | null;
 }
 
-/** A stage with the address at which its engine is reached. */
+/** A stage with the address of its engine. */
 export interface AddressedStage extends Stage {
+  /** `host:port`. */
   readonly address: string;
 }
 
-/** What an instance adds to a request that it passes on. */
+/** Values that an instance adds to a request before it forwards it. */
 export interface AttemptFacts {
   readonly backendId: string;
   readonly organisation: string | null;
   readonly deadlineMs: number;
   /** 0 is the most urgent. */
   readonly priority: number | null;
-  /** Engines to pass through; `null` for plain services. */
+  /** Stages that process the request; `null` for plain services. */
   readonly pipeline: readonly AddressedStage[] | null;
   readonly lastEventId: string | null;
 }
 
-/** What the headers of a backend server's answer say. */
+/** Values decoded from the headers of a backend server's answer. */
 export interface AnswerFacts {
   readonly requestId: string | null;
-  /** Whether it bears the mark of the server that made it. */
+  /** Whether the backend server signed it, so no intermediary produced it. */
   readonly signed: boolean;
-  /** The server states that it did not run the request and will not. */
+  /** Whether the server states that it has not run the request and never will. */
   readonly notRun: boolean;
-  /** HOST:PORT of the stage at fault, where one is named. */
+  /** `host:port` of the stage that failed, if the answer names one. */
   readonly faultyStage: string | null;
-  /** Whether the body is as it was made, without a content coding. */
+  /** Whether the body has no content coding. */
   readonly plainBody: boolean;
-  /** Whether a length or chunks tell where the body ends. */
+  /** Whether a content length or chunked encoding marks the body's end. */
   readonly framed: boolean;
 }
 
@@ -56,61 +58,64 @@
   Record<string, string | string[] | undefined>
 >;
 
-/** Translates requests and answers. */
+/** Translates the headers of requests and answers. */
 export interface RequestCodec {
   decodeRequest(headers: IncomingHttpHeaders): RequestFacts;
-  /** Headers for a backend server, from the caller's raw ones. */
+  /** Returns raw headers for a backend server from those of the caller. */
   encodeAttempt(rawHeaders: readonly string[], attempt: AttemptFacts): string[];
   decodeAnswer(status: number, headers: AnswerHeaders): AnswerFacts;
-  /** Headers of the answer for the caller, as a flat list of pairs. */
+  /** Returns the headers for the caller as a flat list of names and values. */
   encodeAnswer(headers: AnswerHeaders): string[];
-  /** Headers of an answer of our own. */
+  /** Returns the headers of an error response that the gateway itself sends. */
   encodeRefusal(options: {
     readonly requestId: string | null;
     readonly retryAfterSeconds: number | null;
   }): Record<string, string>;
 }
 
-/** What an engine said to an order. */
+/** Outcome of an order to an engine. */
 export type OrderAnswer =
   | { readonly kind: "accepted" }
-  /** It already is as ordered. */
+  /** The engine already is in the ordered state. */
   | { readonly kind: "done" }
-  /** The order does not fit the engine's state, which moved on. */
+  /** The engine's state has changed since the order was decided. */
   | { readonly kind: "conflict"; readonly detail: string }
-  /** The engine at the address is another one. */
+  /** Another engine has the address, or the engine has restarted. */
   | { readonly kind: "replaced" }
-  /** A later holder of the right to order has ordered it. */
+  /** The engine has accepted an order with a higher fencing number. */
   | { readonly kind: "fenced" }
   | { readonly kind: "refused"; readonly detail: string }
-  /** No answer: it may be carried out later. */
+  /** No response; the engine may still execute the order. */
   | { readonly kind: "unknown"; readonly detail: string };
 
-/** How an engine gives up layers that answers are using. */
+/** An order to hold a range of layers. */
 export interface PlaceOrder {
   readonly range: LayerRange;
-  /** The order count that the engine must have. */
+  /** Order count that the engine must report, or it rejects the order. */
   readonly expectedOrderCount: number;
+  /** Fencing number of the lease; `null` to send the order without one. */
   readonly fencingNumber: number | null;
 }
 
-/** What an engine said to a change of an answer's pipeline. */
+/** Outcome of a change of an answer's pipeline. */
 export type MoveAnswer =
   | { readonly kind: "moved" }
   | { readonly kind: "unknown_request" }
+  /** The engine at the address lacks memory; `null` if none is named. */
   | { readonly kind: "no_room"; readonly address: string | null }
   | { readonly kind: "failed"; readonly detail: string };
 
-/** Calls to engines apart from callers' requests. */
+/** Control calls to engines. */
 export interface EngineCalls {
-  /** Resolves to `null` when no usable report came in time. */
+  /** Resolves to `null` if no valid report arrives in time. */
   report(address: string, timeoutMs: number): Promise<EngineReport | null>;
+  /** Orders an engine to hold a range of layers. */
   place(
     server: BackendServer,
     order: PlaceOrder,
     timeoutMs: number,
   ): Promise<OrderAnswer>;
-  /** Replaces later stages of an answer in progress. */
+  /** Replaces later stages in the pipeline of an answer in progress. */
   changePipeline(
     address: string,
     change: {
--- a/packages/gateway/src/settings.ts
+++ b/packages/gateway/src/settings.ts
@@ -1,16 +1,16 @@
-/** What an instance is told when it starts. */
+/** Start-up settings of an instance. */
 
 export interface ListenAddress {
   readonly host: string;
   readonly port: number;
 }
 
-/** Repeats that all instances together may send to one service. */
+/** Limits of the retries that all instances together send to one service. */
 export interface RetryBudgetSettings {
-  /** Repeats for each request in the window. */
+  /** Retries per request in the window. */
   readonly ratio: number;
   readonly windowMs: number;
-  /** Repeats that are allowed besides. */
+  /** Retries that are allowed in addition to the ratio. */
   readonly slack: number;
 }
 
@@ -19,12 +19,13 @@
   readonly failureDomain: string;
   readonly callers: ListenAddress;
   readonly readiness: ListenAddress;
+  /** Address of the operators' server; `null` disables it. */
   readonly metrics: ListenAddress | null;
-  /** Where other instances reach this one. */
+  /** Address for calls from other instances; `null` if it accepts none. */
   readonly peers: ListenAddress | null;
-  /** HOST:PORT of the object API. */
+  /** `host:port` of the object API. */
   readonly storeAddress: string;
-  /** From the signal to stop until the process is killed. */
+  /** Milliseconds from the stop signal until the process is killed. */
   readonly graceMs: number;
   readonly retryBudget: RetryBudgetSettings;
 }
