--- a/packages/gateway/src/following/change_log.ts
+++ b/packages/gateway/src/following/change_log.ts
@@ -29,7 +29,7 @@
 
 export interface ChangeLog {
   /** Records that the object at the key was written or removed. */
-  put(key: string): void;
+  recordChange(key: string): void;
   position(): ChangePosition;
   /** Changes after a position; all objects if the log doesn't reach back. */
   after(position: ChangePosition | null): Changes;
@@ -54,7 +54,7 @@
 
   return {
     position,
-    put(key) {
+    recordChange(key) {
       changedKeys.push(key);
       if (changedKeys.length > 2 * MIN_KEPT_CHANGES) {
         firstSequence += changedKeys.length - MIN_KEPT_CHANGES;
--- a/packages/gateway/src/following/change_log_test.ts
+++ b/packages/gateway/src/following/change_log_test.ts
@@ -9,11 +9,11 @@
     log,
     put(key: string, version: number) {
       objects.set(key, { key, version, value: null });
-      log.put(key);
+      log.recordChange(key);
     },
     remove(key: string) {
       objects.delete(key);
-      log.put(key);
+      log.recordChange(key);
     },
   };
 }
--- a/packages/gateway/src/following/change_relay.ts
+++ b/packages/gateway/src/following/change_relay.ts
@@ -91,7 +91,7 @@
    * watches fail, as JSON can't encode infinity.
    */
   function storeAgeMs(): number {
-    if (mirrors().some((mirror) => mirror.awayMs() > 0)) {
+    if (mirrors().some((mirror) => mirror.unavailableMs() > 0)) {
       return Number.MAX_SAFE_INTEGER;
     }
     const watchAgeMs = Math.max(...mirrors().map((mirror) => mirror.ageMs()));
--- a/packages/gateway/src/following/change_relay_test.ts
+++ b/packages/gateway/src/following/change_relay_test.ts
@@ -134,7 +134,7 @@
       prefix: PREFIX,
       signal: abortController.signal,
       onObject: ({ version }) => seen.push([version, performance.now()]),
-      relay: follower,
+      relayFollower: follower,
     }),
   );
   const advance = (ms: number) => vi.advanceTimersByTimeAsync(ms);
@@ -171,7 +171,7 @@
       prefix: PREFIX,
       log: countingLog,
       ageMs: () => 0,
-      awayMs: () => 0,
+      unavailableMs: () => 0,
     } as unknown as ObjectMirror;
     const { methods } = createChangeRelay({
       mirrors: () => [mirror],
--- a/packages/gateway/src/following/object_mirror.ts
+++ b/packages/gateway/src/following/object_mirror.ts
@@ -51,7 +51,7 @@
   /** Called after an object is removed, once any grace period is over. */
   readonly onRemoved?: (key: string) => void;
   /** While it follows a relay, the mirror doesn't watch the store. */
-  readonly relay?: RelayFollower;
+  readonly relayFollower?: RelayFollower;
 }
 
 export interface ObjectMirror {
@@ -62,7 +62,7 @@
   revision(): number;
   objects(): readonly StoredObject[];
   /** Replaces the contents with a peer's; ignored unless it is newer. */
-  takeFromPeer(news: {
+  applyPeerSnapshot(snapshot: {
     readonly revision: number;
     readonly objects: readonly StoredObject[];
   }): void;
@@ -70,19 +70,19 @@
    * Applies changes from a relay. `ageMs` is the time since the store last
    * answered the relay, in milliseconds.
    */
-  takeFromRelay(changes: Omit<Changes, "position">, ageMs: number): void;
+  applyRelayChanges(changes: Omit<Changes, "position">, ageMs: number): void;
   /**
    * Milliseconds since the store last answered, directly or through a relay;
    * `Infinity` before the first answer.
    */
   ageMs(): number;
   /** Milliseconds since store calls began to fail; 0 while they succeed. */
-  awayMs(): number;
+  unavailableMs(): number;
 }
 
 /** Starts to mirror the prefix; stops when the signal aborts. */
 export function startObjectMirror(options: ObjectMirrorOptions): ObjectMirror {
-  const { store, prefix, signal, relay } = options;
+  const { store, prefix, signal, relayFollower } = options;
   const objectsByKey = new Map<string, StoredObject>();
   const log = createChangeLog(objectsByKey);
   /** Timers that remove missing objects after the grace period, by key. */
@@ -102,8 +102,8 @@
     while (!signal.aborted) {
       const untilFullReadMs =
         lastFullReadAt + fullReadIntervalMs - performance.now();
-      if (relay?.isFollowing() && untilFullReadMs > 0) {
-        await waitForRelayEnd(relay, untilFullReadMs);
+      if (relayFollower?.isFollowing() && untilFullReadMs > 0) {
+        await waitForRelayEnd(relayFollower, untilFullReadMs);
         continue;
       }
       const isFullRead =
@@ -173,7 +173,7 @@
     const lastVersion = objectsByKey.get(object.key)?.version ?? -Infinity;
     if (object.version <= lastVersion) return;
     objectsByKey.set(object.key, object);
-    log.put(object.key);
+    log.recordChange(object.key);
     options.onObject(object);
   }
 
@@ -200,7 +200,7 @@
   function removeObject(key: string): void {
     removalTimers.delete(key);
     objectsByKey.delete(key);
-    log.put(key);
+    log.recordChange(key);
     options.onRemoved?.(key);
   }
 
@@ -209,19 +209,20 @@
     log,
     revision: () => currentRevision,
     objects: () => [...objectsByKey.values()],
-    takeFromPeer({ revision, objects }) {
+    applyPeerSnapshot({ revision, objects }) {
       if (revision <= currentRevision) return;
       currentRevision = revision;
       for (const object of objects) applyObject(object);
       scheduleRemovalOfOthers(objects);
     },
-    takeFromRelay({ isWhole, objects, removed }, ageMs) {
+    applyRelayChanges({ isWhole, objects, removed }, ageMs) {
       lastAnswerAt = Math.max(lastAnswerAt, performance.now() - ageMs);
       for (const object of objects) applyObject(object);
       for (const key of removed) scheduleRemoval(key);
       if (isWhole) scheduleRemovalOfOthers(objects);
     },
     ageMs: () => performance.now() - lastAnswerAt,
-    awayMs: () => (failures > 0 ? performance.now() - firstFailureAt : 0),
+    unavailableMs: () =>
+      failures > 0 ? performance.now() - firstFailureAt : 0,
   };
 }
--- a/packages/gateway/src/following/object_mirror_test.ts
+++ b/packages/gateway/src/following/object_mirror_test.ts
@@ -122,7 +122,7 @@
     const { mirror, events, answer, end } = setUp();
     await answer(batch([["k/a", 1]], { isWhole: true }));
     await answer(storeFailure);
-    mirror.takeFromPeer({ revision: 9, objects: [] });
+    mirror.applyPeerSnapshot({ revision: 9, objects: [] });
     await vi.advanceTimersByTimeAsync(2_000);
     expect(events).toEqual(["k/a@1"]);
     await answer(batch([["k/a", 10]]));
@@ -134,7 +134,7 @@
   it("removes an entry that a peer lacks at once while its own watch works", async () => {
     const { mirror, events, answer, end } = setUp();
     await answer(batch([["k/a", 1]], { isWhole: true }));
-    mirror.takeFromPeer({ revision: 9, objects: [] });
+    mirror.applyPeerSnapshot({ revision: 9, objects: [] });
     expect(events).toEqual(["k/a@1", "k/a gone"]);
     end();
   });
--- a/packages/gateway/src/following/peer_snapshots.ts
+++ b/packages/gateway/src/following/peer_snapshots.ts
@@ -63,7 +63,7 @@
     while (!signal.aborted) {
       await pause(REQUEST_INTERVAL_MS, signal);
       const disconnected = mirrors.filter(
-        (mirror) => mirror.awayMs() > UNAVAILABLE_THRESHOLD_MS,
+        (mirror) => mirror.unavailableMs() > UNAVAILABLE_THRESHOLD_MS,
       );
       await Promise.all(disconnected.map(requestSnapshot));
     }
@@ -94,6 +94,6 @@
       from: mirror.revision(),
       to: snapshot.data.revision,
     });
-    mirror.takeFromPeer(snapshot.data);
+    mirror.applyPeerSnapshot(snapshot.data);
   }
 }
--- a/packages/gateway/src/following/presence.ts
+++ b/packages/gateway/src/following/presence.ts
@@ -57,7 +57,7 @@
    * Number of instances that may be live, including this one. An instance with
    * an expired heartbeat may only be cut off and still send retries.
    */
-  countPossible(): number;
+  countPossiblyLive(): number;
   /** Names of other instances that may send requests in a failure domain. */
   othersIn(failureDomain: string): readonly string[];
   /** Whether a failure domain has another live instance. */
@@ -74,7 +74,7 @@
   /** Other live instances. */
   liveOthers(): LiveInstance[];
   /** Other live instances in this instance's failure domain. */
-  neighbours(): DomainInstance[];
+  liveDomainPeers(): DomainInstance[];
   /** Resolves to whether the store answers a small read in time. */
   probeStore(timeoutMs: number): Promise<boolean>;
   /** Announces that this instance is about to stop. */
@@ -94,7 +94,7 @@
 interface ObservedPresence {
   readonly presence: PresenceObject;
   readonly version: number;
-  readonly movedAt: number;
+  readonly lastChangedAt: number;
 }
 
 /** Starts to renew this instance's object and to read those of others. */
@@ -131,8 +131,8 @@
   }
 
   /** Compares with the time of the last read; see `liveEntries`. */
-  function isLive({ movedAt }: ObservedPresence): boolean {
-    return lastReadAt - movedAt < EXPIRY_RENEWALS * renewalIntervalMs();
+  function isLive({ lastChangedAt }: ObservedPresence): boolean {
+    return lastReadAt - lastChangedAt < EXPIRY_RENEWALS * renewalIntervalMs();
   }
 
   function senderTimeoutMs(): number {
@@ -167,13 +167,13 @@
       observedByKey.set(object.key, {
         presence: parsed.data,
         version: object.version,
-        movedAt: hasChanged ? now : previous.movedAt,
+        lastChangedAt: hasChanged ? now : previous.lastChangedAt,
       });
     }
     const listedKeys = new Set(listed.value.map((object) => object.key));
     for (const [other, seen] of observedByKey) {
       if (!listedKeys.has(other)) observedByKey.delete(other);
-      else if (now - seen.movedAt > CLEANUP_AFTER_MS) {
+      else if (now - seen.lastChangedAt > CLEANUP_AFTER_MS) {
         await store.remove(other, { expectedVersion: seen.version });
         observedByKey.delete(other);
         log.info("instance_forgotten", { key: other });
@@ -210,10 +210,10 @@
   function possibleSendersIn(domain: string): string[] {
     return [...observedByKey]
       .filter(
-        ([, { presence, movedAt }]) =>
+        ([, { presence, lastChangedAt }]) =>
           presence.failureDomain === domain &&
           !presence.leaving &&
-          lastReadAt - movedAt < senderTimeoutMs(),
+          lastReadAt - lastChangedAt < senderTimeoutMs(),
       )
       .map(([other]) => other.slice(PRESENCE_PREFIX.length));
   }
@@ -225,7 +225,7 @@
   }
 
   return {
-    countPossible: () =>
+    countPossiblyLive: () =>
       Math.max(
         hasRead ? 1 : INITIAL_INSTANCE_COUNT,
         1 +
@@ -247,11 +247,11 @@
         failureDomain: seen.presence.failureDomain,
         leaving: seen.presence.leaving,
         isLive: isLive(seen),
-        heardAgoMs: performance.now() - seen.movedAt,
+        heardAgoMs: performance.now() - seen.lastChangedAt,
       })),
     peers: () => livePresences().flatMap((presence) => presence.peer ?? []),
     liveOthers,
-    neighbours: () =>
+    liveDomainPeers: () =>
       liveOthers().filter((other) => other.failureDomain === failureDomain),
     async probeStore(timeoutMs) {
       const options = { mayBeStale: true, timeoutMs };
--- a/packages/gateway/src/following/relay_follower.ts
+++ b/packages/gateway/src/following/relay_follower.ts
@@ -89,7 +89,7 @@
         positions.set(changes.prefix, changes.position);
         mirrors()
           .find(({ prefix }) => prefix === changes.prefix)
-          ?.takeFromRelay(changes, response.ageMs);
+          ?.applyRelayChanges(changes, response.ageMs);
       }
       const hasEveryPrefix = mirrors().every(({ prefix }) =>
         positions.has(prefix),
--- a/packages/gateway/src/following/store_following.ts
+++ b/packages/gateway/src/following/store_following.ts
@@ -65,11 +65,11 @@
     startRelayFollower({
       mirrors: () => mirrors,
       caller,
-      relays: () => chooseRelays(instance, presence.neighbours()),
+      relays: () => chooseRelays(instance, presence.liveDomainPeers()),
       signal,
     });
   for (const prefix of prefixes) {
-    const source = relayFollower ? { ...prefix, relay: relayFollower } : prefix;
+    const source = relayFollower ? { ...prefix, relayFollower } : prefix;
     mirrors.push(startObjectMirror({ ...source, store, signal }));
   }
   if (peers && caller) {
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -85,17 +85,19 @@
     signal,
   });
   const [configurations, servers] = mirrors;
-  if (!configurations || !servers) throw new Error("a prefix has no mirror");
+  if (!configurations || !servers)
+    throw new Error("no mirror for a store prefix");
   const orderingRight = createOrderingRight({
     store,
     instance,
     failureDomain,
     presence,
-    storeAwayMs: () => Math.min(configurations.awayMs(), servers.awayMs()),
+    storeAwayMs: () =>
+      Math.min(configurations.unavailableMs(), servers.unavailableMs()),
   });
   const budget = createRetryBudget(
     settings.retryBudget,
-    presence.countPossible,
+    presence.countPossiblyLive,
   );
   const exchange = createBackendExchange();
   const serverChoice = createServerChoice({ fleet, failureDomain });
