--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -99,18 +99,19 @@
 export function createRouteTable(routes: readonly Route[]): RouteTable {
   const hosts = new Map<string, Route[]>();
   for (const route of routes) {
-    const list = hosts.get(route.host) ?? [];
-    hosts.set(route.host, list);
-    list.push(route);
+    const hostRoutes = hosts.get(route.host) ?? [];
+    hosts.set(route.host, hostRoutes);
+    hostRoutes.push(route);
   }
-  for (const list of hosts.values()) {
-    list.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
+  for (const hostRoutes of hosts.values()) {
+    hostRoutes.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
   }
   return {
     find(host, path) {
-      const list = hosts.get(hostName(host));
+      const hostRoutes = hosts.get(hostName(host));
       return (
-        list?.find(({ pathPrefix }) => path.startsWith(pathPrefix)) ?? null
+        hostRoutes?.find(({ pathPrefix }) => path.startsWith(pathPrefix)) ??
+        null
       );
     },
   };
--- a/packages/gateway/src/following/change_log.ts
+++ b/packages/gateway/src/following/change_log.ts
@@ -2,7 +2,7 @@
 import type { StoredObject } from "@rosemarypin/store";
 import { z } from "zod";
 
-/** Changes a full log keeps; a follower further behind gets all objects. */
+/** Changes kept by a trim; a follower further behind gets all objects. */
 const MIN_KEPT_CHANGES = 512;
 
 /** Encoding of objects in calls between instances. */
--- a/packages/gateway/src/following/change_relay.ts
+++ b/packages/gateway/src/following/change_relay.ts
@@ -59,8 +59,8 @@
     return performance.now() - lastRequestAt < FOLLOWER_TIMEOUT_MS;
   }
 
-  function changesAfter(ask: FollowRequest): FollowResponse["changes"] {
-    return ask.positions.flatMap(({ prefix, position }) => {
+  function changesAfter(request: FollowRequest): FollowResponse["changes"] {
+    return request.positions.flatMap(({ prefix, position }) => {
       const mirror = mirrors().find((mirror) => mirror.prefix === prefix);
       if (!mirror) return [];
       const changes = mirror.log.after(position);
@@ -83,7 +83,7 @@
     const alarm = createAlarm();
     const unsubscribers = mirrors().map(({ log }) => log.onChange(alarm.ring));
     await alarm.wait(withinMs, signal);
-    for (const stop of unsubscribers) stop();
+    for (const unsubscribe of unsubscribers) unsubscribe();
   }
 
   /**
@@ -104,13 +104,13 @@
   return {
     methods: {
       async [FOLLOW_METHOD](params): Promise<FollowResponse> {
-        const ask = followRequestSchema.parse(params);
+        const request = followRequestSchema.parse(params);
         lastRequestAt = performance.now();
         void probeWhileFollowed();
-        let changes = changesAfter(ask);
-        if (changes.length === 0 && ask.holdMs > 0) {
-          await waitForChange(ask.holdMs);
-          changes = changesAfter(ask);
+        let changes = changesAfter(request);
+        if (changes.length === 0 && request.holdMs > 0) {
+          await waitForChange(request.holdMs);
+          changes = changesAfter(request);
         }
         return { ageMs: storeAgeMs(), changes };
       },
--- a/packages/gateway/src/following/object_mirror.ts
+++ b/packages/gateway/src/following/object_mirror.ts
@@ -21,7 +21,7 @@
 /**
  * Changes closer together than this form a burst, as when many servers start or
  * load layers. Without batching, each change of a burst costs every instance
- * one call of the store.
+ * one store call.
  */
 const BURST_GAP_MS = 600;
 /** Delay before the next watch during a burst, so that it returns a batch. */
@@ -145,12 +145,12 @@
   /** Waits until the relay is lost, or the next full read is due. */
   async function waitForRelayEnd(
     follower: RelayFollower,
-    longestMs: number,
+    maxWaitMs: number,
   ): Promise<void> {
     const ended = new AbortController();
-    const stop = follower.onEnded(() => ended.abort());
-    await pause(longestMs, AbortSignal.any([signal, ended.signal]));
-    stop();
+    const unsubscribe = follower.onEnded(() => ended.abort());
+    await pause(maxWaitMs, AbortSignal.any([signal, ended.signal]));
+    unsubscribe();
     // The relay may have failed before it forwarded its latest changes.
     if (!follower.isFollowing()) lastFullReadAt = -Infinity;
   }
--- a/packages/gateway/src/following/presence.ts
+++ b/packages/gateway/src/following/presence.ts
@@ -142,22 +142,23 @@
   async function write(leaving: boolean): Promise<void> {
     renewal += 1;
     const value = { failureDomain, startedAt, renewal, peer, leaving };
-    const written = await store.write(ownKey, value, {
+    const writeResult = await store.write(ownKey, value, {
       expectedVersion: version,
     });
-    if (written.kind === "ok") version = written.value;
+    if (writeResult.kind === "ok") version = writeResult.value;
     // An earlier process wrote the object, or a response was lost: the next
     // write continues from the actual version.
-    if (written.kind === "conflict") version = written.actual?.version ?? null;
+    if (writeResult.kind === "conflict")
+      version = writeResult.actual?.version ?? null;
   }
 
   async function readOthers(): Promise<void> {
-    const listed = await store.list(PRESENCE_PREFIX, { mayBeStale: true });
-    if (listed.kind !== "ok") return;
+    const listResult = await store.list(PRESENCE_PREFIX, { mayBeStale: true });
+    if (listResult.kind !== "ok") return;
     hasRead = true;
     const now = performance.now();
     lastReadAt = now;
-    for (const object of listed.value) {
+    for (const object of listResult.value) {
       if (object.key === ownKey) continue;
       const parsed = presenceSchema.safeParse(object.value);
       if (!parsed.success) continue;
@@ -170,11 +171,11 @@
         lastChangedAt: hasChanged ? now : previous.lastChangedAt,
       });
     }
-    const listedKeys = new Set(listed.value.map((object) => object.key));
-    for (const [other, seen] of observedByKey) {
+    const listedKeys = new Set(listResult.value.map((object) => object.key));
+    for (const [other, observed] of observedByKey) {
       if (!listedKeys.has(other)) observedByKey.delete(other);
-      else if (now - seen.lastChangedAt > CLEANUP_AFTER_MS) {
-        await store.remove(other, { expectedVersion: seen.version });
+      else if (now - observed.lastChangedAt > CLEANUP_AFTER_MS) {
+        await store.remove(other, { expectedVersion: observed.version });
         observedByKey.delete(other);
         log.info("instance_forgotten", { key: other });
       }
@@ -188,7 +189,7 @@
   function liveEntries(): [string, ObservedPresence][] {
     return [...observedByKey]
       .filter(([, { presence }]) => !presence.leaving)
-      .filter(([, seen]) => isLive(seen));
+      .filter(([, observed]) => isLive(observed));
   }
 
   function livePresences(): PresenceObject[] {
@@ -242,12 +243,12 @@
           (domain === null || presence.failureDomain === domain),
       ).length,
     others: () =>
-      [...observedByKey].map(([other, seen]) => ({
+      [...observedByKey].map(([other, observed]) => ({
         instance: other.slice(PRESENCE_PREFIX.length),
-        failureDomain: seen.presence.failureDomain,
-        leaving: seen.presence.leaving,
-        isLive: isLive(seen),
-        heardAgoMs: performance.now() - seen.lastChangedAt,
+        failureDomain: observed.presence.failureDomain,
+        leaving: observed.presence.leaving,
+        isLive: isLive(observed),
+        heardAgoMs: performance.now() - observed.lastChangedAt,
       })),
     peers: () => livePresences().flatMap((presence) => presence.peer ?? []),
     liveOthers,
--- a/packages/gateway/src/following/relay_choice.ts
+++ b/packages/gateway/src/following/relay_choice.ts
@@ -1,7 +1,7 @@
 /** Chooses the instances of a failure domain that relay store changes. */
 import type { Address } from "@rosemarypin/schemas";
 
-/** With fewer instances, relays would save no calls of the store. */
+/** With fewer instances, relays would save no store calls. */
 const MIN_INSTANCES_FOR_RELAYS = 4;
 const MIN_RELAYS = 2;
 /** Instances per relay, including the relay itself. */
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -38,7 +38,7 @@
   startUseExchange,
 } from "./streams/mod.ts";
 
-/** Reserved at the end of the grace period to exit before being killed. */
+/** Time reserved at the end of the grace period, to exit before being killed. */
 const SHUTDOWN_MARGIN_MS = 400;
 const SHUTDOWN_POLL_MS = 50;
 /** Extra time for open connections on which a request may be in transit. */
@@ -58,8 +58,8 @@
 ): Promise<Gateway> {
   const { instance, failureDomain } = settings;
   const { store, keys, codec, engines } = platform;
-  const ending = new AbortController();
-  const { signal } = ending;
+  const abortController = new AbortController();
+  const { signal } = abortController;
   // Each pending wait adds a listener, among others one per suspected server,
   // so their number may exceed the default limit.
   setMaxListeners(0, signal);
@@ -226,7 +226,7 @@
     const cut = listener.inProgress();
     // No request may be accepted while the last log lines are written.
     listener.server.closeAllConnections();
-    ending.abort();
+    abortController.abort();
     log.info("stopped", { cut, after_ms: elapsedMs().toFixed(0) });
   }
 
--- a/packages/gateway/src/protocol.ts
+++ b/packages/gateway/src/protocol.ts
@@ -42,7 +42,10 @@
 /** Values decoded from the headers of a backend server's answer. */
 export interface AnswerFacts {
   readonly requestId: string | null;
-  /** Whether the backend server signed it, so no intermediary produced it. */
+  /**
+   * Whether it carries a backend server's signature header, which answers made
+   * by intermediaries lack.
+   */
   readonly signed: boolean;
   /** Whether the server states that it has not run the request and never will. */
   readonly notRun: boolean;
@@ -91,7 +94,7 @@
 /** An order to hold a range of layers. */
 export interface PlaceOrder {
   readonly range: LayerRange;
-  /** Order count that the engine must report, or it rejects the order. */
+  /** The engine rejects the order unless it has this order count. */
   readonly expectedOrderCount: number;
   /** Fencing number of the lease; `null` to send the order without one. */
   readonly fencingNumber: number | null;
