--- a/packages/placement/src/disjoint_chains.ts
+++ b/packages/placement/src/disjoint_chains.ts
@@ -1,7 +1,7 @@
 /** Finds a maximum set of disjoint chains of layer ranges. */
 import type { LayerRange } from "@rosemarypin/schemas";
 
-/** A range of layers, which links its first layer to the one after its last. */
+/** An edge from the first layer of a range to the layer after its last. */
 interface Step {
   readonly layers: LayerRange;
 }
--- a/packages/placement/src/held_plan.ts
+++ b/packages/placement/src/held_plan.ts
@@ -83,7 +83,7 @@
   return added.reduce(addPipeline, layout);
 }
 
-/** Drops pipelines one by one while more models gain a first or second one. */
+/** Drops pipelines one by one while this gives models a first or second one. */
 async function reassignForRedundancy(
   start: Layout,
   context: {
--- a/packages/placement/src/plan_score.ts
+++ b/packages/placement/src/plan_score.ts
@@ -10,8 +10,8 @@
 }
 
 /**
- * Compared field by field, in this order: a pipeline for every model outweighs
- * a second pipeline for any, and both outweigh the rates.
+ * Compared field by field, in this order: more models with a pipeline outweigh
+ * more models with a second one, and both outweigh the rates.
  */
 export interface Score {
   /** Models with at least one pipeline. */
--- a/packages/placement/src/plan_test.ts
+++ b/packages/placement/src/plan_test.ts
@@ -169,8 +169,8 @@
     const plan = await planDomain({ engines, models: [model] });
     const lost = firstEngineOf(plan);
     const part = plan.pipelines[0]?.stages[0];
-    const spare = { ...kinds[0], id: "spare", holds: [] };
-    const held = [...removeEngine(applyPlan(engines, plan), lost), spare];
+    const idleEngine = { ...kinds[0], id: "spare", holds: [] };
+    const held = [...removeEngine(applyPlan(engines, plan), lost), idleEngine];
     const next = await planDomain({ engines: held, models: [model] });
     const layers = (part?.to ?? 0) - (part?.from ?? 0);
     expect(next.movedMegabytes).toBe(layers * model.loadMegabytes);
