--- a/packages/gateway/src/forwarding/backend_request.ts
+++ b/packages/gateway/src/forwarding/backend_request.ts
@@ -1,9 +1,9 @@
-/** What plain calls and streams share of asking a backend server. */
+/** Requests to backend servers, for plain calls and streams. */
 import type { OpenAnswer, OutgoingRequest } from "../backends/mod.ts";
 import { type CallerCall, priorityOf, timeLeftMs } from "../callers/mod.ts";
 import type { AnswerFacts, AttemptFacts, RequestCodec } from "../protocol.ts";
 
-/** Makes the request that goes to a backend server for a call. */
+/** Creates the request to a backend server for one attempt of a call. */
 export function outgoingRequest(
   codec: RequestCodec,
   call: CallerCall,
@@ -22,7 +22,10 @@
   };
 }
 
-/** Whether an answer is this call's; a late one of another may come first. */
+/**
+ * Whether an answer belongs to the call and its body has no content coding. A
+ * connection may first deliver a late answer of another request.
+ */
 export function isOwnAnswer(
   { facts }: CallerCall,
   { requestId, plainBody }: AnswerFacts,
@@ -30,7 +33,7 @@
   return plainBody && (requestId === null || requestId === facts.requestId);
 }
 
-/** Reads a body to its end; throws when it breaks off. */
+/** Reads the whole body; throws when it ends early. */
 export async function readWhole({ body }: OpenAnswer): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of body) chunks.push(chunk);
--- a/packages/gateway/src/forwarding/forwarding_parts.ts
+++ b/packages/gateway/src/forwarding/forwarding_parts.ts
@@ -1,4 +1,4 @@
-/** What forwarding of every kind works with. */
+/** Dependencies of forwarding plain calls and streams. */
 import type { BackendExchange, BackendFleet } from "../backends/mod.ts";
 import type { RequestCodec } from "../protocol.ts";
 import type { RetryBudget } from "./retry_budget.ts";
--- a/packages/gateway/src/forwarding/mod.ts
+++ b/packages/gateway/src/forwarding/mod.ts
@@ -1,4 +1,4 @@
-/** What forwarding of all kinds shares. */
+/** Shared parts of forwarding plain calls and streams. */
 export * from "./backend_request.ts";
 export * from "./forwarding_parts.ts";
 export * from "./retry_budget.ts";
--- a/packages/gateway/src/forwarding/retry_budget.ts
+++ b/packages/gateway/src/forwarding/retry_budget.ts
@@ -1,49 +1,49 @@
-/** Bounds repeats to a share of the requests, over all instances together. */
+/** Limits retries to a share of the requests, over all instances together. */
 import type { RetryBudgetSettings } from "../settings.ts";
 
 /**
- * Part of the allowance that is used. Windows of the bound slide, and counts
- * are taken where requests arrive, a little later than here.
+ * Share of the allowance that is used. The margin covers the difference between
+ * this window and the one of the limit, which slides and counts requests when
+ * they arrive at the backend servers, slightly later.
  */
-const USED_SHARE = 0.75;
-/** Slices of the window in which counts are kept. */
-const SLICES = 10;
+const USABLE_SHARE = 0.75;
+const WINDOW_SLICES = 10;
 
 export interface RetryBudget {
-  /** Counts a request that a caller sent. */
+  /** Counts a request of a caller, which adds to the allowance. */
   countRequest(service: string): void;
-  /** Takes one repeat, or tells that none is left. */
+  /** Takes one retry from the budget; false when none is left. */
   take(service: string): boolean;
 }
 
-interface Slice {
+interface WindowSlice {
   readonly index: number;
   requests: number;
   repeats: number;
 }
 
 /**
- * Creates the budget of one instance. Each takes its part of the fixed
- * allowance, and a share of the requests that it saw itself, so that the sum
- * keeps the bound without any talk among instances.
+ * Creates the budget of one instance: an equal part of the fixed allowance and
+ * a share of the requests that it received itself. The sum over all instances
+ * stays within the limit without communication between them.
  */
 export function createRetryBudget(
   settings: RetryBudgetSettings,
   instanceCount: () => number,
 ): RetryBudget {
-  const sliceMs = settings.windowMs / SLICES;
-  const services = new Map<string, Slice[]>();
+  const sliceMs = settings.windowMs / WINDOW_SLICES;
+  const services = new Map<string, WindowSlice[]>();
 
-  function slicesOf(service: string): Slice[] {
-    const oldest = Math.floor(performance.now() / sliceMs) - SLICES;
-    const kept = (services.get(service) ?? []).filter(
+  function recentSlicesOf(service: string): WindowSlice[] {
+    const oldest = Math.floor(performance.now() / sliceMs) - WINDOW_SLICES;
+    const recentSlices = (services.get(service) ?? []).filter(
       ({ index }) => index > oldest,
     );
-    services.set(service, kept);
-    return kept;
+    services.set(service, recentSlices);
+    return recentSlices;
   }
 
-  function currentOf(slices: Slice[]): Slice {
+  function currentSlice(slices: WindowSlice[]): WindowSlice {
     const index = Math.floor(performance.now() / sliceMs);
     const last = slices.at(-1);
     if (last?.index === index) return last;
@@ -54,16 +54,17 @@
 
   return {
     countRequest(service) {
-      currentOf(slicesOf(service)).requests += 1;
+      currentSlice(recentSlicesOf(service)).requests += 1;
     },
     take(service) {
-      const slices = slicesOf(service);
+      const slices = recentSlicesOf(service);
       const requests = slices.reduce((sum, slice) => sum + slice.requests, 0);
       const repeats = slices.reduce((sum, slice) => sum + slice.repeats, 0);
-      const fixed = settings.slack / Math.max(1, instanceCount());
-      const allowed = USED_SHARE * (fixed + settings.ratio * requests);
+      const fixedAllowance = settings.slack / Math.max(1, instanceCount());
+      const allowed =
+        USABLE_SHARE * (fixedAllowance + settings.ratio * requests);
       if (repeats + 1 > allowed) return false;
-      currentOf(slices).repeats += 1;
+      currentSlice(slices).repeats += 1;
       return true;
     },
   };
--- a/packages/gateway/src/forwarding/retry_budget_test.ts
+++ b/packages/gateway/src/forwarding/retry_budget_test.ts
@@ -10,42 +10,45 @@
   vi.useRealTimers();
 });
 
-function takeAll(budget: ReturnType<typeof createRetryBudget>): number {
+function takeAllRetries(budget: ReturnType<typeof createRetryBudget>): number {
   let taken = 0;
   while (budget.take("s")) taken += 1;
   return taken;
 }
 
-describe("the budget of repeats", () => {
-  it("is a part of the fixed allowance, and a share of own requests", () => {
+describe("retry budget", () => {
+  it("adds a share of local requests to a part of the fixed allowance", () => {
     const budget = createRetryBudget(settings, () => 4);
-    expect(takeAll(budget)).toBe(7);
+    expect(takeAllRetries(budget)).toBe(7);
     for (let request = 0; request < 100; request += 1) budget.countRequest("s");
-    expect(takeAll(budget)).toBe(15);
+    expect(takeAllRetries(budget)).toBe(15);
   });
 
-  it("comes back as the window slides", () => {
+  it("is restored as the window slides", () => {
     const budget = createRetryBudget(settings, () => 4);
-    takeAll(budget);
+    takeAllRetries(budget);
     vi.advanceTimersByTime(9_000);
     expect(budget.take("s")).toBe(false);
     vi.advanceTimersByTime(2_000);
-    expect(takeAll(budget)).toBe(7);
+    expect(takeAllRetries(budget)).toBe(7);
   });
 
-  it("keeps the bound for all instances together", () => {
-    // Instances that each took the whole allowance, since they knew of no
-    // other, sent four times the repeats that the services can bear.
+  it("stays within the limit for all instances together", () => {
+    // Guards against each instance using the whole allowance because it does
+    // not know of the others: four times the retries that services can bear.
     const budgets = [1, 2, 3, 4].map(() =>
       createRetryBudget(settings, () => 4),
     );
-    const taken = budgets.reduce((sum, budget) => sum + takeAll(budget), 0);
+    const taken = budgets.reduce(
+      (sum, budget) => sum + takeAllRetries(budget),
+      0,
+    );
     expect(taken).toBeLessThanOrEqual(settings.slack);
   });
 
-  it("counts each service by itself", () => {
+  it("counts each service separately", () => {
     const budget = createRetryBudget(settings, () => 4);
-    takeAll(budget);
+    takeAllRetries(budget);
     expect(budget.take("other")).toBe(true);
   });
 });
--- a/packages/gateway/src/streams/admission.ts
+++ b/packages/gateway/src/streams/admission.ts
@@ -1,4 +1,4 @@
-/** Decides when an answer gets a pipeline: now, after a while, or not at all. */
+/** Admits answers to pipelines: at once, after a wait, or not at all. */
 import { createLogger } from "@rosemarypin/telemetry";
 import { pause } from "@rosemarypin/timing";
 import type { CallerCall } from "../callers/mod.ts";
@@ -9,91 +9,110 @@
 } from "./pipeline_router.ts";
 
 /**
- * Share of engines' memory up to which answers are sent. Beyond it an engine
- * preempts its newest answers and reads them again later; the time that takes
- * fills the memory further, until hardly any answer is on time.
+ * Share of an engine's memory up to which answers are admitted. Beyond it an
+ * engine preempts its newest answers and later recomputes them. That work
+ * delays the other answers, which then hold their memory for longer, until
+ * most answers miss their objective.
  */
-const MOST_LOAD = 1;
+const MAX_LOAD = 1;
 /**
- * How long a new answer waits for room, as a share of the time in which its
- * first event is due. Room comes back every few milliseconds, as answers end.
+ * Longest wait of a new answer for free memory, as a share of the route's
+ * objective for the first event. Answers that end free memory every few
+ * milliseconds.
  */
-const WAIT_SHARE = 0.25;
-const WAIT_STEP_MS = 20;
+const NEW_ANSWER_WAIT_SHARE = 0.25;
+const NEW_ANSWER_RETRY_MS = 20;
 /**
- * How long an answer that has begun waits for a pipeline while layers of a
- * lost engine are loaded elsewhere, which takes one to two seconds. One that
- * has not begun is refused instead: its caller can come back.
+ * Longest wait of a partly delivered answer for a pipeline. Other engines load
+ * the layers of a lost engine within one to two seconds. A new answer is
+ * refused instead, since its caller can retry.
  */
-const LONGEST_WAIT_MS = 4_000;
-const BEGUN_WAIT_STEP_MS = 100;
+const BEGUN_ANSWER_MAX_WAIT_MS = 4_000;
+const BEGUN_ANSWER_RETRY_MS = 100;
 
 const log = createLogger("streams");
 
-export type Admission =
+export type AdmissionDecision =
   | { readonly kind: "admitted"; readonly pipeline: ChosenPipeline }
   | {
       readonly kind: "refused";
-      /** Layers that nobody holds, or engines that are all full. */
+      /**
+       * `no_pipeline`: some layer isn't held by any usable engine. `no_room`:
+       * there are pipelines, but their engines are full.
+       */
       readonly reason: "no_pipeline" | "no_room";
     };
 
-export interface AdmissionOfCall {
-  /** Finds a pipeline for the next run of the call. */
-  next(options: { readonly hasBegun: boolean }): Promise<Admission>;
+export interface CallAdmission {
+  /**
+   * Waits for a pipeline for the next run of the call and reserves it.
+   * `hasBegun` tells whether the answer to the caller has begun.
+   */
+  next(options: { readonly hasBegun: boolean }): Promise<AdmissionDecision>;
 }
 
-/** Creates the admission of one call. */
+/** Creates the admission of one call; its runs share the time to wait. */
 export function createAdmission(
   call: CallerCall,
   router: PipelineRouter,
   request: Omit<PipelineRequest, "service" | "avoided"> & {
-    /** Engines that the call keeps away from; emptied while it waits. */
+    /** Engines that the call avoids; emptied while a begun answer waits. */
     readonly avoided: Set<string>;
   },
-): AdmissionOfCall {
-  const wanted = { ...request, service: call.service };
+): CallAdmission {
+  const pipelineRequest = { ...request, service: call.service };
   let waitedMs = 0;
 
-  async function wait(stepMs: number): Promise<void> {
+  async function waitBeforeRetry(stepMs: number): Promise<void> {
     await pause(stepMs, call.signal);
     waitedMs += stepMs;
   }
 
-  /** The caller has a part of the answer: it waits, and is refused last. */
-  async function nextOfBegun(): Promise<ChosenPipeline | null> {
-    while (!call.signal.aborted && waitedMs < LONGEST_WAIT_MS) {
-      const pipeline = router.choose({ ...wanted, mostLoad: MOST_LOAD });
+  /**
+   * Cutting an answer that the caller has begun to receive is the last resort:
+   * after the wait, full engines are accepted too.
+   */
+  async function admitBegunAnswer(): Promise<ChosenPipeline | null> {
+    while (!call.signal.aborted && waitedMs < BEGUN_ANSWER_MAX_WAIT_MS) {
+      const pipeline = router.choose({
+        ...pipelineRequest,
+        mostLoad: MAX_LOAD,
+      });
       if (pipeline) return pipeline;
-      // Engines that this call kept away from may have come back.
+      // Engines that this call avoided may have recovered.
       request.avoided.clear();
-      await wait(BEGUN_WAIT_STEP_MS);
+      await waitBeforeRetry(BEGUN_ANSWER_RETRY_MS);
     }
-    return router.choose(wanted);
+    return router.choose(pipelineRequest);
   }
 
-  async function nextOfNew(): Promise<ChosenPipeline | null> {
-    const mostMs = call.route.objectiveMs * WAIT_SHARE;
-    let isServed = false;
+  async function admitNewAnswer(): Promise<ChosenPipeline | null> {
+    const maxWaitMs = call.route.objectiveMs * NEW_ANSWER_WAIT_SHARE;
+    let hasPipeline = false;
     for (;;) {
-      const pipeline = router.choose({ ...wanted, mostLoad: MOST_LOAD });
+      const pipeline = router.choose({
+        ...pipelineRequest,
+        mostLoad: MAX_LOAD,
+      });
       if (pipeline) return pipeline;
-      if (call.signal.aborted || waitedMs >= mostMs) return null;
-      // Asked once: among hundreds of engines a search takes milliseconds.
-      isServed ||= router.hasRoom(wanted);
-      if (!isServed) return null;
-      await wait(WAIT_STEP_MS);
+      if (call.signal.aborted || waitedMs >= maxWaitMs) return null;
+      // Searched once: with hundreds of engines it takes milliseconds.
+      hasPipeline ||= router.hasRoom(pipelineRequest);
+      if (!hasPipeline) return null;
+      await waitBeforeRetry(NEW_ANSWER_RETRY_MS);
     }
   }
 
   return {
     async next({ hasBegun }) {
-      const pipeline = await (hasBegun ? nextOfBegun() : nextOfNew());
+      const pipeline = await (hasBegun ? admitBegunAnswer() : admitNewAnswer());
       if (pipeline) return { kind: "admitted", pipeline };
-      const reason = router.hasRoom(wanted) ? "no_room" : "no_pipeline";
+      const reason = router.hasRoom(pipelineRequest)
+        ? "no_room"
+        : "no_pipeline";
       log.warn(reason, {
         request: call.id,
-        missing_layers: router.missingLayers(wanted) || undefined,
+        missing_layers: router.missingLayers(pipelineRequest) || undefined,
         avoided: [...request.avoided].join(",") || undefined,
         waited_ms: waitedMs,
       });
--- a/packages/gateway/src/streams/admission_test.ts
+++ b/packages/gateway/src/streams/admission_test.ts
@@ -15,9 +15,9 @@
   vi.useRealTimers();
 });
 
-type Engines = "free" | "full" | "missing";
+type EngineState = "free" | "full" | "missing";
 
-function setUp(first: Engines) {
+function setUp(first: EngineState) {
   let engines = first;
   const avoided = new Set(["e-1"]);
   const pipeline = { stages: [] } as unknown as ChosenPipeline;
@@ -38,62 +38,65 @@
   const size = { promptTokens: 80, answerTokens: 20 };
   const admission = createAdmission(call, router, { size, avoided });
 
-  /** Asks for a pipeline and tells what came of it, and when. */
-  async function next(hasBegun: boolean, turns: [number, Engines][] = []) {
+  /** Returns the decision for one request of a pipeline, and its delay. */
+  async function next(
+    hasBegun: boolean,
+    stateChanges: [number, EngineState][] = [],
+  ) {
     const startedAt = performance.now();
-    const asked = admission.next({ hasBegun }).then((admitted) => ({
+    const outcome = admission.next({ hasBegun }).then((admitted) => ({
       result: admitted.kind === "admitted" ? "admitted" : admitted.reason,
       afterMs: performance.now() - startedAt,
     }));
-    for (const [atMs, turn] of turns) {
+    for (const [atMs, nextState] of stateChanges) {
       const waitMs = startedAt + atMs - performance.now();
       await vi.advanceTimersByTimeAsync(waitMs);
-      engines = turn;
+      engines = nextState;
     }
     await vi.advanceTimersByTimeAsync(10_000);
-    return await asked;
+    return await outcome;
   }
 
   return { next, avoided };
 }
 
-describe("a new answer", () => {
-  it("is admitted at once where there is room", async () => {
+describe("admission of a new answer", () => {
+  it("admits at once when an engine has room", async () => {
     const { next } = setUp("free");
     expect(await next(false)).toEqual({ result: "admitted", afterMs: 0 });
   });
 
-  it("waits a moment for room, as answers end all the time", async () => {
+  it("waits for memory that ending answers free", async () => {
     const { next } = setUp("full");
     const admitted = await next(false, [[90, "free"]]);
     expect(admitted).toEqual({ result: "admitted", afterMs: 100 });
   });
 
-  it("is refused while it still could come back on time", async () => {
+  it("refuses early enough for a retry within the objective", async () => {
     const { next } = setUp("full");
     expect(await next(false)).toEqual({ result: "no_room", afterMs: 140 });
   });
 
-  it("is refused at once where nobody holds a layer", async () => {
+  it("refuses at once when no engine holds a layer", async () => {
     const { next } = setUp("missing");
     expect(await next(false)).toEqual({ result: "no_pipeline", afterMs: 0 });
   });
 });
 
-describe("an answer that has begun", () => {
-  it("waits for layers that are being loaded", async () => {
+describe("admission of an answer that has begun", () => {
+  it("waits until missing layers are loaded", async () => {
     const { next, avoided } = setUp("missing");
     const admitted = await next(true, [[1_350, "free"]]);
     expect(admitted).toEqual({ result: "admitted", afterMs: 1_400 });
     expect([...avoided]).toEqual([]);
   });
 
-  it("is sent to full engines in the end, sooner than cut", async () => {
+  it("uses full engines after the wait instead of cutting the answer", async () => {
     const { next } = setUp("full");
     expect(await next(true)).toEqual({ result: "admitted", afterMs: 4_000 });
   });
 
-  it("is given up where layers stay missing", async () => {
+  it("refuses when layers stay missing", async () => {
     const { next } = setUp("missing");
     expect(await next(true)).toEqual({ result: "no_pipeline", afterMs: 4_000 });
   });
--- a/packages/gateway/src/streams/engine_use_test.ts
+++ b/packages/gateway/src/streams/engine_usage_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { AddressedStage } from "../protocol.ts";
-import { createEngineUse, TOLD_FOR_MS } from "./engine_use.ts";
+import { createEngineUse, PEER_LOADS_VALID_MS } from "./engine_usage.ts";
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -15,8 +15,8 @@
   { engineId: "e-2", address: "10.0.0.2:80", range: { from: 10, to: 30 } },
 ];
 
-describe("the use of engines", () => {
-  it("counts an answer at each stage until it is released, once", () => {
+describe("engine usage", () => {
+  it("counts an answer once at each stage until its release", () => {
     const use = createEngineUse();
     const answer = { stages, tokens: 100, unreadTokens: 80 };
     const taken = use.take({ ...answer, unreadStages: stages });
@@ -36,7 +36,7 @@
     expect(use.ownTokens()).toBe(50);
   });
 
-  it("counts a prompt as unread until the answer begins, once", () => {
+  it("counts a prompt once as unread until the answer begins", () => {
     const use = createEngineUse();
     const answer = { stages, tokens: 100, unreadTokens: 80 };
     const taken = use.take({ ...answer, unreadStages: stages.slice(1) });
@@ -50,7 +50,7 @@
     expect([...use.own()]).toEqual([]);
   });
 
-  it("sums up what others told, the latest word of each", () => {
+  it("sums the latest loads of each peer", () => {
     const use = createEngineUse();
     use.told("b", new Map([["e-1", { held: 10, unread: 1 }]]));
     use.told("b", new Map([["e-1", { held: 30, unread: 2 }]]));
@@ -59,10 +59,10 @@
     expect(use.byOthers("e-2")).toEqual({ held: 0, unread: 0 });
   });
 
-  it("forgets an instance that fell silent", () => {
+  it("drops the loads of a peer that stopped reporting", () => {
     const use = createEngineUse();
     use.told("b", new Map([["e-1", { held: 30, unread: 2 }]]));
-    vi.advanceTimersByTime(TOLD_FOR_MS);
+    vi.advanceTimersByTime(PEER_LOADS_VALID_MS);
     expect(use.byOthers("e-1")).toEqual({ held: 0, unread: 0 });
     expect(use.toldBy("b")).toBeNull();
   });
--- a/packages/gateway/src/streams/event_splitter.ts
+++ b/packages/gateway/src/streams/event_splitter.ts
@@ -1,66 +1,69 @@
-/** Cuts a stream of server-sent events into whole events. */
+/** Splits a byte stream of server-sent events into complete events. */
 
 const LINE_FEED = 0x0a;
 const ID_FIELD = Buffer.from("id:");
 
-/** One event as it was sent, with its blank line. */
-export interface WholeEvent {
+/** The unmodified bytes of one event, including its final blank line. */
+export interface ServerSentEvent {
   readonly bytes: Buffer;
-  /** The id that the event carries; `null` where it has none. */
+  /** Value of the event's `id` field; `null` if it has none. */
   readonly id: string | null;
 }
 
 export interface EventSplitter {
-  /** Takes bytes in and gives the events that they complete. */
-  push(chunk: Buffer): WholeEvent[];
-  /** Bytes behind the last whole event. */
+  /** Appends bytes and returns the events that they complete. */
+  push(chunk: Buffer): ServerSentEvent[];
+  /** Bytes after the last complete event. */
   rest(): Buffer;
 }
 
 /**
- * Creates a splitter. A server may break off in the middle of an event; only
- * whole events go on, so that another server can go on behind the last one.
+ * Creates a splitter with an empty buffer. A server can fail in the middle of
+ * an event. Only complete events are forwarded, so that another server can
+ * resume the stream after the last one.
  */
 export function createEventSplitter(): EventSplitter {
-  let pending: Buffer = Buffer.alloc(0);
+  let pendingBytes: Buffer = Buffer.alloc(0);
 
   return {
     push(chunk) {
-      pending = pending.length > 0 ? Buffer.concat([pending, chunk]) : chunk;
-      const events: WholeEvent[] = [];
-      let from = 0;
+      pendingBytes =
+        pendingBytes.length > 0 ? Buffer.concat([pendingBytes, chunk]) : chunk;
+      const events: ServerSentEvent[] = [];
+      let eventStart = 0;
       for (;;) {
-        const end = endOfEvent(pending, from);
+        const end = findEventEnd(pendingBytes, eventStart);
         if (end < 0) break;
-        const bytes = pending.subarray(from, end);
-        events.push({ bytes, id: idOf(bytes) });
-        from = end;
+        const bytes = pendingBytes.subarray(eventStart, end);
+        events.push({ bytes, id: parseEventId(bytes) });
+        eventStart = end;
       }
-      if (from > 0) pending = pending.subarray(from);
+      if (eventStart > 0) pendingBytes = pendingBytes.subarray(eventStart);
       return events;
     },
-    rest: () => pending,
+    rest: () => pendingBytes,
   };
 }
 
-/** Offset behind the blank line that ends the event, or -1. */
-function endOfEvent(bytes: Buffer, from: number): number {
-  let at = bytes.indexOf(LINE_FEED, from);
-  while (at >= 0) {
-    const next = bytes[at + 1];
-    if (next === LINE_FEED) return at + 2;
-    if (next === 0x0d && bytes[at + 2] === LINE_FEED) return at + 3;
-    at = bytes.indexOf(LINE_FEED, at + 1);
+/** Offset after the blank line that ends the event, or -1 without one. */
+function findEventEnd(bytes: Buffer, from: number): number {
+  let lineFeedIndex = bytes.indexOf(LINE_FEED, from);
+  while (lineFeedIndex >= 0) {
+    const nextByte = bytes[lineFeedIndex + 1];
+    if (nextByte === LINE_FEED) return lineFeedIndex + 2;
+    if (nextByte === 0x0d && bytes[lineFeedIndex + 2] === LINE_FEED)
+      return lineFeedIndex + 3;
+    lineFeedIndex = bytes.indexOf(LINE_FEED, lineFeedIndex + 1);
   }
   return -1;
 }
 
-function idOf(event: Buffer): string | null {
-  let at = event.indexOf(ID_FIELD);
-  while (at > 0 && event[at - 1] !== LINE_FEED) {
-    at = event.indexOf(ID_FIELD, at + 1);
+function parseEventId(event: Buffer): string | null {
+  let fieldIndex = event.indexOf(ID_FIELD);
+  while (fieldIndex > 0 && event[fieldIndex - 1] !== LINE_FEED) {
+    fieldIndex = event.indexOf(ID_FIELD, fieldIndex + 1);
   }
-  if (at < 0) return null;
-  const end = event.indexOf(LINE_FEED, at);
-  return event.toString("latin1", at + ID_FIELD.length, end).trim();
+  if (fieldIndex < 0) return null;
+  const end = event.indexOf(LINE_FEED, fieldIndex);
+  return event.toString("latin1", fieldIndex + ID_FIELD.length, end).trim();
 }
--- a/packages/gateway/src/streams/event_splitter_test.ts
+++ b/packages/gateway/src/streams/event_splitter_test.ts
@@ -14,8 +14,8 @@
   };
 }
 
-describe("a stream of events", () => {
-  it("is cut at blank lines, with the id of each event", () => {
+describe("event splitter", () => {
+  it("splits at blank lines and reads the id of each event", () => {
     expect(split([text])).toMatchInlineSnapshot(`
       {
         "events": [
@@ -46,7 +46,7 @@
     `);
   });
 
-  it("is the same however its bytes arrive", () => {
+  it("gives the same events for any chunk boundaries", () => {
     const whole = split([text]);
     const cuts = fc.uniqueArray(fc.integer({ min: 1, max: text.length - 1 }));
     const property = fc.property(cuts, (at) => {
--- a/packages/gateway/src/streams/forward_stream.ts
+++ b/packages/gateway/src/streams/forward_stream.ts
@@ -1,8 +1,7 @@
 /**
- * Forwards answers that come as a stream of events, and takes a broken one up
- * on another pipeline behind the last event that the caller has.
+ * Forwards answers that are streams of events. A broken answer is resumed on
+ * another pipeline after the last event that the caller has received.
  */
-
 import {
   beginAnswer,
   type CallEnd,
@@ -22,21 +21,23 @@
   type StreamProgress,
 } from "./stream_run.ts";
 
-/** Pipelines that may refuse an answer before the caller is refused. */
-const MOST_REFUSALS = 4;
-/** Runs that may end with their first engine, so that no call goes on for
- * ever while engines fail one after the other. */
-const MOST_LOST = 3;
+/** Pipelines that may refuse a call before its caller is refused. */
+const MAX_REFUSALS = 4;
+/**
+ * Bound on runs that were lost with their first engine, so that a call ends
+ * even while engines fail one after the other.
+ */
+const MAX_LOST_RUNS = 3;
 /**
- * When to come back, in seconds. A lost engine's layers are noticed within
- * one second and held by others one to two seconds later; callers that were
- * refused together return one by one.
+ * Range of the retry delay. The loss of an engine is detected within one second
+ * and other engines hold its layers one to two seconds later. A random delay in
+ * the range spreads the retries of callers that were refused together.
  */
-const RETURN_SECONDS: ReturnSpan = { least: 1.2, most: 3.2 };
-/** The same when all engines are full; answers take a second or two. */
-const ROOM_SECONDS: ReturnSpan = { least: 0.5, most: 2 };
+const RETRY_AFTER_LOSS_SECONDS: ReturnSpan = { least: 1.2, most: 3.2 };
+/** Range when all engines are full; answers take one to two seconds. */
+const RETRY_WHEN_FULL_SECONDS: ReturnSpan = { least: 0.5, most: 2 };
 
-/** Forwards a call until its stream is complete or can't be. */
+/** Forwards a call until its stream is complete or can't be completed. */
 export async function forwardStream(
   call: CallerCall,
   parts: StreamParts,
@@ -50,14 +51,15 @@
   const avoided = new Set<string>();
   let attempts = 0;
   let runs = 0;
-  let lost = 0;
-  let last: RunEnd = { kind: "not_run", detail: "no_pipeline" };
-  const size = sizeOf(call);
+  let lostRuns = 0;
+  let lastEnd: RunEnd = { kind: "not_run", detail: "no_pipeline" };
+  const size = estimateSize(call);
   const admission = createAdmission(call, router, { size, avoided });
   while (!call.signal.aborted) {
     const admitted = await admission.next({ hasBegun: progress.begun });
     if (admitted.kind === "refused") {
-      if (attempts === 0) last = { kind: "not_run", detail: admitted.reason };
+      if (attempts === 0)
+        lastEnd = { kind: "not_run", detail: admitted.reason };
       break;
     }
     const { pipeline } = admitted;
@@ -71,26 +73,33 @@
       size,
       avoided,
       mayGoElsewhere:
-        call.route.resumable && runs - lost + 1 < call.route.maxAttempts,
+        call.route.resumable && runs - lostRuns + 1 < call.route.maxAttempts,
       stop: new AbortController(),
     };
-    last = await runStream(call, run, { progress, parts });
-    if (last.kind === "complete") break;
-    if (last.kind === "not_run") {
-      if (attempts - runs > MOST_REFUSALS) break;
+    lastEnd = await runStream(call, run, { progress, parts });
+    if (lastEnd.kind === "complete") break;
+    if (lastEnd.kind === "not_run") {
+      if (attempts - runs > MAX_REFUSALS) break;
       continue;
     }
     runs += 1;
-    // A run on an engine that went away takes nothing from the bound.
-    if (last.kind === "broken" && last.firstEngineAway) lost += 1;
+    // Runs lost with their first engine don't count as the route's attempts.
+    if (lastEnd.kind === "broken" && lastEnd.firstEngineAway) lostRuns += 1;
     if (!call.route.resumable) break;
-    if (runs - lost >= call.route.maxAttempts || lost > MOST_LOST) break;
+    if (runs - lostRuns >= call.route.maxAttempts || lostRuns > MAX_LOST_RUNS)
+      break;
   }
-  return endOf(call, { last, progress, attempts, runs, codec: parts.codec });
+  return endCall(call, {
+    last: lastEnd,
+    progress,
+    attempts,
+    runs,
+    codec: parts.codec,
+  });
 }
 
-/** Tokens that a call's answer is expected to take. */
-function sizeOf({ facts, service }: CallerCall): AnswerSize {
+/** Estimates the tokens of a call's prompt and answer. */
+function estimateSize({ facts, service }: CallerCall): AnswerSize {
   const model = service.engine?.model;
   const usual = model?.usualAnswerTokens ?? 0;
   const promptTokens = facts.promptTokens ?? model?.usualPromptTokens ?? 0;
@@ -99,7 +108,7 @@
   return { promptTokens, answerTokens };
 }
 
-function endOf(
+function endCall(
   call: CallerCall,
   state: {
     readonly last: RunEnd;
@@ -122,7 +131,7 @@
     return { status: 0, outcome: reason, reason, attempts, firstByteMs, pace };
   }
   if (progress.begun) {
-    // An answer that ends early must not look complete to its caller.
+    // Destroyed, so that the partial answer doesn't look complete.
     call.response.destroy();
     const reason = last.kind === "failed" ? "failed_midway" : last.detail;
     return { status: 0, outcome: "cut", reason, attempts, firstByteMs, pace };
@@ -140,7 +149,9 @@
     reason: last.detail,
     attempts,
     retryAfterSeconds: drawReturn(
-      last.detail === "no_room" ? ROOM_SECONDS : RETURN_SECONDS,
+      last.detail === "no_room"
+        ? RETRY_WHEN_FULL_SECONDS
+        : RETRY_AFTER_LOSS_SECONDS,
     ),
   });
 }
--- a/packages/gateway/src/streams/mod.ts
+++ b/packages/gateway/src/streams/mod.ts
@@ -1,7 +1,7 @@
-/** Forwards streams over pipelines of engines, and recovers them. */
-export * from "./engine_use.ts";
+/** Forwards streams over pipelines of engines and recovers broken ones. */
+export * from "./engine_usage.ts";
 export * from "./forward_stream.ts";
 export * from "./pipeline_router.ts";
 export * from "./stall_detector.ts";
-export * from "./told_peers.ts";
-export * from "./use_exchange.ts";
+export * from "./usage_destinations.ts";
+export * from "./usage_exchange.ts";
--- a/packages/gateway/src/streams/pipeline_router.ts
+++ b/packages/gateway/src/streams/pipeline_router.ts
@@ -1,4 +1,4 @@
-/** Chooses pipelines for answers, and keeps count of what they use. */
+/** Chooses pipelines for answers and reserves their share of the engines. */
 import {
   findPipeline,
   type LayerRange,
@@ -14,76 +14,84 @@
 import type { AddressedStage } from "../protocol.ts";
 import {
   type EngineLoad,
-  type EngineUse,
+  type EngineReservation,
+  type EngineUsage,
   type LoadByEngine,
   NO_LOAD,
-  type TakenUse,
-} from "./engine_use.ts";
+} from "./engine_usage.ts";
 
-/** How much an answer takes of engines. */
+/** Tokens for which an answer takes memory on each engine of its pipeline. */
 export interface AnswerSize {
   readonly promptTokens: number;
-  /** As far as can be told. */
+  /** An estimate, since the length of the answer isn't known beforehand. */
   readonly answerTokens: number;
 }
 
 export interface PipelineRequest {
   readonly service: Service;
   readonly size: AnswerSize;
-  /** Engines that this answer is to keep away from. */
+  /** Ids of engines that are excluded from this answer's pipeline. */
   readonly avoided: ReadonlySet<string>;
-  /** Share of memory that may be in use on each engine, this answer included. */
+  /**
+   * Upper bound on the used share of each engine's memory, this answer
+   * included; unlimited if left out.
+   */
   readonly mostLoad?: number;
 }
 
-/** A pipeline that is counted as in use until it is released. */
-export interface ChosenPipeline extends TakenUse {
+/** A pipeline whose load is counted until it is released. */
+export interface ChosenPipeline extends EngineReservation {
   readonly stages: readonly AddressedStage[];
+  /** The engine that receives the request and streams the answer. */
   readonly first: BackendServer;
 }
 
 export interface PipelineRouter {
-  /** Chooses a pipeline, or gives `null` when a layer is held by nobody. */
+  /**
+   * Reserves the cheapest pipeline; `null` when no permitted engine holds some
+   * layer.
+   */
   choose(request: PipelineRequest): ChosenPipeline | null;
-  /** Whether there is a pipeline for the request. */
+  /** Whether `choose` would find a pipeline; reserves nothing. */
   hasRoom(request: PipelineRequest): boolean;
   /**
-   * Puts other engines in the place of one stage and counts them as in use;
-   * `null` when nobody else holds its layers.
+   * Reserves a copy of the pipeline with other engines in place of one stage;
+   * the caller releases the old one. `null` when no other permitted engine
+   * holds the stage's layers, or when it is the first stage.
    */
   replaceStage(
     pipeline: ChosenPipeline,
     request: PipelineRequest & {
+      /** HOST:PORT of the stage to replace. */
       readonly address: string;
-      /** Whether only engines of the lost one's failure domain will do. */
+      /** Restricts the choice to the failure domain of the replaced engine. */
       readonly sameDomain: boolean;
     },
   ): ChosenPipeline | null;
-  /** Layers that no usable engine holds, as ranges, for the log. */
+  /** Ranges of layers that no usable engine holds, such as `20-31,70-80`. */
   missingLayers(request: Pick<PipelineRequest, "service" | "avoided">): string;
 }
 
 export interface PipelineRouterOptions {
   readonly fleet: BackendFleet;
   readonly failureDomain: string;
-  readonly use: EngineUse;
-  /** Other instances that may send answers from a failure domain, by name. */
+  readonly use: EngineUsage;
+  /** Names of other instances in a failure domain that may send answers. */
   readonly othersIn: (failureDomain: string) => readonly string[];
 }
 
-/** Creates a router without answers in progress. */
 export function createPipelineRouter({
   fleet,
   failureDomain,
   use,
   othersIn,
 }: PipelineRouterOptions): PipelineRouter {
-  function candidates(
+  function listCandidates(
     service: Service,
     engine: EngineShape,
     avoided: ReadonlySet<string>,
   ): StageCandidate[] {
-    const useOf = createDomainUse();
+    const usageOfDomain = createDomainUsageLookup();
     return fleet.ofService(service.name).flatMap((server) => {
       const kind = engine.kinds.get(server.kind ?? "");
       const { id, held, failureDomain } = server;
@@ -93,10 +101,15 @@
       const { model } = engine;
       const layers = layersIn(held);
       const room = roomTokens(model, { memoryMb, layers }) * layers;
-      const load = estimateLoad(server, layers, useOf(server.failureDomain));
-      // What others send is estimated; an engine that refused an answer was
-      // asked, and knows better while its word is new.
-      const reported = fleet.reportedLoad(id) ?? 0;
+      const load = estimateLoad(
+        server,
+        layers,
+        usageOfDomain(server.failureDomain),
+      );
+      // The estimate can be too low, since it includes guesses for other
+      // instances. A recent report of the engine itself, which the fleet
+      // requests after a refusal, is used if it is higher.
+      const reportedLoad = fleet.reportedLoad(id) ?? 0;
       return [
         {
           id,
@@ -105,7 +118,7 @@
           stepFactor,
           readFactor,
           held,
-          load: Math.max(load.held / Math.max(1, room), reported),
+          load: Math.max(load.held / Math.max(1, room), reportedLoad),
           backlogMs: readMs(model, { readFactor, tokenLayers: load.unread }),
         },
       ];
@@ -113,55 +126,60 @@
   }
 
   /**
-   * What answers of all instances use of an engine. Callers are spread over
-   * instances, so one that did not tell its use lately is taken to use as much
-   * as the others of its failure domain do on the average.
+   * Estimates the load of all instances' answers on an engine. Callers are
+   * spread over the instances, so one without a current report is assumed to
+   * use the average of the other instances in its failure domain.
    */
   function estimateLoad(
     { id }: BackendServer,
     layers: number,
-    domainUse: DomainUse,
+    domainUsage: DomainUsage,
   ): EngineLoad {
-    const own = use.own().get(id) ?? NO_LOAD;
-    const told = use.byOthers(id);
-    const held = own.held + told.held + heldBySilent(id, layers, domainUse);
-    return { held, unread: own.unread + told.unread };
+    const localLoad = use.own().get(id) ?? NO_LOAD;
+    const peerLoad = use.byOthers(id);
+    const held =
+      localLoad.held +
+      peerLoad.held +
+      estimateUnreportedHeld(id, layers, domainUsage);
+    return { held, unread: localLoad.unread + peerLoad.unread };
   }
 
-  function heldBySilent(
+  function estimateUnreportedHeld(
     id: string,
     layers: number,
-    { silent, known }: DomainUse,
+    { silent, known }: DomainUsage,
   ): number {
     if (silent === 0) return 0;
-    // Nothing is known of that domain: its instances have as many answers at
-    // its engines as this one has in all.
+    // Without any report from that domain, each of its instances is assumed to
+    // have as many tokens on this engine as this instance has in total.
     if (known.length === 0) return silent * use.ownTokens() * layers;
-    const held = known.map((loads) => loads.get(id)?.held ?? 0);
-    return silent * (sum(held) / known.length);
+    const heldByReporting = known.map((loads) => loads.get(id)?.held ?? 0);
+    return silent * (sum(heldByReporting) / known.length);
   }
 
-  /** Looks each failure domain's instances up once for all its engines. */
-  function createDomainUse(): (domain: string) => DomainUse {
-    const looked = new Map<string, DomainUse>();
+  /** Caches the usage of each failure domain during one search. */
+  function createDomainUsageLookup(): (domain: string) => DomainUsage {
+    const usageByDomain = new Map<string, DomainUsage>();
     return (domain) => {
-      const last = looked.get(domain);
-      if (last) return last;
-      const others = othersIn(domain);
-      const told = others.flatMap((instance) => use.toldBy(instance) ?? []);
-      const own = domain === failureDomain ? [use.own()] : [];
-      const domainUse = {
-        silent: others.length - told.length,
-        known: [...told, ...own],
+      const cached = usageByDomain.get(domain);
+      if (cached) return cached;
+      const instances = othersIn(domain);
+      const reportedLoads = instances.flatMap(
+        (instance) => use.toldBy(instance) ?? [],
+      );
+      const localLoads = domain === failureDomain ? [use.own()] : [];
+      const domainUsage = {
+        silent: instances.length - reportedLoads.length,
+        known: [...reportedLoads, ...localLoads],
       };
-      looked.set(domain, domainUse);
-      return domainUse;
+      usageByDomain.set(domain, domainUsage);
+      return domainUsage;
     };
   }
 
-  function find(
+  function findStages(
     request: PipelineRequest,
-    part: {
+    constraints: {
       readonly range?: LayerRange;
       readonly onlyDomain?: string | undefined;
     } = {},
@@ -169,18 +187,18 @@
     const { service, avoided, mostLoad } = request;
     const { engine } = service;
     if (!engine) return null;
-    const { range, onlyDomain } = part;
-    const usable = candidates(service, engine, avoided).filter(
-      (one) =>
-        (onlyDomain === undefined || one.failureDomain === onlyDomain) &&
-        (mostLoad === undefined || hasRoomFor(one, request, engine)),
+    const { range, onlyDomain } = constraints;
+    const usable = listCandidates(service, engine, avoided).filter(
+      (candidate) =>
+        (onlyDomain === undefined || candidate.failureDomain === onlyDomain) &&
+        (mostLoad === undefined || hasRoomFor(candidate, request, engine)),
     );
     const found = findPipeline(usable, {
       model: engine.model,
       failureDomain,
       ...(range ? { range } : {}),
     });
-    return found ? addressed(found.stages) : null;
+    return found ? withAddresses(found.stages) : null;
   }
 
   function hasRoomFor(
@@ -189,19 +207,19 @@
     { model }: EngineShape,
   ): boolean {
     const room = roomTokens(model, { memoryMb, layers: layersIn(held) });
-    return load + tokensOf(size) / Math.max(1, room) <= mostLoad;
+    return load + totalTokens(size) / Math.max(1, room) <= mostLoad;
   }
 
-  /** `null` when an engine went away meanwhile. */
-  function addressed(stages: readonly Stage[]): AddressedStage[] | null {
-    const known = stages.flatMap((stage) => {
+  /** Adds the engines' addresses; `null` if one was removed meanwhile. */
+  function withAddresses(stages: readonly Stage[]): AddressedStage[] | null {
+    const addressedStages = stages.flatMap((stage) => {
       const server = fleet.get(stage.engineId);
       return server ? [{ ...stage, address: server.address }] : [];
     });
-    return known.length === stages.length ? known : null;
+    return addressedStages.length === stages.length ? addressedStages : null;
   }
 
-  function take(
+  function reserve(
     stages: readonly AddressedStage[],
     request: PipelineRequest,
     unreadStages: readonly AddressedStage[],
@@ -209,47 +227,49 @@
     const first = fleet.get(stages[0]?.engineId ?? "");
     if (!first) return null;
     const { size } = request;
-    const taken = use.take({
+    const reservation = use.take({
       stages,
-      tokens: tokensOf(size),
+      tokens: totalTokens(size),
       unreadTokens: size.promptTokens,
       unreadStages,
     });
-    return { stages, first, ...taken };
+    return { stages, first, ...reservation };
   }
 
   return {
     choose(request) {
-      const stages = find(request);
-      return stages ? take(stages, request, stages) : null;
+      const stages = findStages(request);
+      return stages ? reserve(stages, request, stages) : null;
     },
-    hasRoom: (request) => find(request) !== null,
+    hasRoom: (request) => findStages(request) !== null,
     replaceStage({ stages }, request) {
-      const at = stages.findIndex(({ address }) => address === request.address);
-      const lost = stages[at];
-      // The first engine carries the stream; nothing can take its place.
-      if (!lost || at === 0) return null;
+      const lostIndex = stages.findIndex(
+        ({ address }) => address === request.address,
+      );
+      const lostStage = stages[lostIndex];
+      // The first engine streams the answer and can't be replaced.
+      if (!lostStage || lostIndex === 0) return null;
       const inUse = stages.map(({ engineId }) => engineId);
       const avoided = new Set([...request.avoided, ...inUse]);
       const onlyDomain = request.sameDomain
-        ? fleet.get(lost.engineId)?.failureDomain
+        ? fleet.get(lostStage.engineId)?.failureDomain
         : undefined;
-      const others = find(
+      const replacements = findStages(
         { ...request, avoided },
-        { range: lost.range, onlyDomain },
+        { range: lostStage.range, onlyDomain },
       );
-      if (!others) return null;
-      const changed = [
-        ...stages.slice(0, at),
-        ...others,
-        ...stages.slice(at + 1),
+      if (!replacements) return null;
+      const newStages = [
+        ...stages.slice(0, lostIndex),
+        ...replacements,
+        ...stages.slice(lostIndex + 1),
       ];
-      return take(changed, request, others);
+      return reserve(newStages, request, replacements);
     },
     missingLayers({ service, avoided }) {
       const { engine } = service;
       if (!engine) return "";
-      const ranges = candidates(service, engine, avoided).map(
+      const ranges = listCandidates(service, engine, avoided).map(
         ({ held }) => held,
       );
       return describeGaps(ranges, engine.model.layerCount);
@@ -257,16 +277,16 @@
   };
 }
 
-/** What is known of the instances of one failure domain. */
-interface DomainUse {
-  /** Other instances that did not tell their use lately. */
+/** Reports of the instances in one failure domain. */
+interface DomainUsage {
+  /** Number of other instances without a current report. */
   readonly silent: number;
-  /** The use of those that did, and the own one. */
+  /** Loads of those with one, and of this instance if it is in the domain. */
   readonly known: readonly LoadByEngine[];
 }
 
-/** Memory that an answer takes once it is whole, in tokens. */
-function tokensOf({ promptTokens, answerTokens }: AnswerSize): number {
+/** Tokens that an answer holds in memory once it is complete. */
+function totalTokens({ promptTokens, answerTokens }: AnswerSize): number {
   return promptTokens + answerTokens;
 }
 
@@ -274,15 +294,15 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-/** Ranges of layers that none of the others covers, such as `20-31,70-80`. */
+/** Layers that none of the ranges covers, such as `20-31,70-80`. */
 function describeGaps(ranges: readonly LayerRange[], layers: number): string {
   const gaps: string[] = [];
   let from: number | null = null;
   for (let layer = 0; layer <= layers; layer += 1) {
-    const isHeld =
+    const isCovered =
       layer === layers ||
       ranges.some((range) => range.from <= layer && layer < range.to);
-    if (!isHeld) from ??= layer;
+    if (!isCovered) from ??= layer;
     else if (from !== null) {
       gaps.push(`${from}-${layer}`);
       from = null;
--- a/packages/gateway/src/streams/stage_recovery.ts
+++ b/packages/gateway/src/streams/stage_recovery.ts
@@ -1,4 +1,4 @@
-/** Mends the pipeline of an answer whose stage was lost, or gives the run up. */
+/** Replaces a lost stage in the pipeline of an answer, or stops the run. */
 import { createLogger } from "@rosemarypin/telemetry";
 import { pause } from "@rosemarypin/timing";
 import type { BackendFleet } from "../backends/mod.ts";
@@ -12,22 +12,23 @@
 import type { Stall } from "./stall_detector.ts";
 
 const CHANGE_TIMEOUT_MS = 400;
-/** Engines that may refuse one change for want of memory. */
-const MOST_TRIES = 3;
-/** Changes of one run; after them it goes on elsewhere. */
-const MOST_CHANGES = 2;
+/** Replacements that may fail for lack of memory before the search ends. */
+const MAX_REPLACEMENT_ATTEMPTS = 3;
+/** Pipeline changes in one run; the next lost stage stops it. */
+const MAX_PIPELINE_CHANGES = 2;
 /**
- * How long an answer waits for an empty engine to load the lost layers, in
- * milliseconds. Callers leave a stream after 2 s without an event, and the new
- * stage has all tokens to read first.
+ * Longest wait for another engine to load the lost layers. Callers abandon a
+ * stream after 2 s without an event, and a new stage has to read all tokens so
+ * far before the next event.
  */
-const LONGEST_WAIT_MS = 1_500;
-const WAIT_STEP_MS = 50;
+const MAX_REPLACEMENT_WAIT_MS = 1_500;
+const REPLACEMENT_RETRY_MS = 50;
 /**
- * Load up to which other pipelines take answers of a broken one. All of them
- * move in the same moment, and each instance decides by itself.
+ * Share of an engine's memory up to which other pipelines may take over answers
+ * of a broken one. The margin is needed because all answers of the broken
+ * pipeline move at the same time and instances choose independently.
  */
-const MOST_LOAD_ELSEWHERE = 0.75;
+const MAX_LOAD_ELSEWHERE = 0.75;
 
 const log = createLogger("streams");
 
@@ -35,9 +36,9 @@
 export interface StreamRun {
   pipeline: ChosenPipeline;
   readonly size: AnswerSize;
-  /** Engines that the call keeps away from; grows. */
+  /** Ids of engines that the call avoids; lost engines are added. */
   readonly avoided: Set<string>;
-  /** Whether the call may go on in another run. */
+  /** Whether the call may be resumed by another run if this one is stopped. */
   readonly mayGoElsewhere: boolean;
   readonly stop: AbortController;
 }
@@ -49,18 +50,18 @@
 }
 
 export interface StageRecovery {
-  /** Something holds the answer up. */
+  /** Starts to recover from a stall, unless a recovery is in progress. */
   onStall(stall: Stall): void;
-  /** An event came: whatever held it up is over. */
+  /** Reports an event of the answer, which cancels a recovery in progress. */
   heard(): void;
-  /** Why the run was stopped, if it was. */
+  /** Why the run was given up; `null` if it was not. */
   cause(): RecoveryCause | null;
   end(): void;
 }
 
 export type RecoveryCause = "first_engine_away" | "stage_away";
 
-type Replacement = "moved" | "full" | "failed";
+type ReplacementResult = "moved" | "full" | "failed";
 
 /** Creates the recovery of one run; `onMoved` is called after each change. */
 export function createStageRecovery(
@@ -70,9 +71,9 @@
 ): StageRecovery {
   const { router, engines, fleet } = options.parts;
   let cause: RecoveryCause | null = null;
-  let ended = false;
-  let changes = 0;
-  /** Set while a stage is being replaced; an event ends it. */
+  let hasEnded = false;
+  let changeCount = 0;
+  /** Set while a recovery is in progress; an event aborts it. */
   let recovering: AbortController | null = null;
 
   async function recover(stall: Stall): Promise<void> {
@@ -83,113 +84,129 @@
       return stop("first_engine_away");
     }
     const { address } = stall;
-    const lost = run.pipeline.stages.find((stage) => stage.address === address);
-    log.warn("stage_away", { id: lost?.engineId, address, request: call.id });
-    if (lost) run.avoided.add(lost.engineId);
-    const replaced = changes < MOST_CHANGES && (await replaceSoon(address));
-    if (!replaced && isNeeded()) stop("stage_away");
+    const lostStage = run.pipeline.stages.find(
+      (stage) => stage.address === address,
+    );
+    log.warn("stage_away", {
+      id: lostStage?.engineId,
+      address,
+      request: call.id,
+    });
+    if (lostStage) run.avoided.add(lostStage.engineId);
+    const isReplaced =
+      changeCount < MAX_PIPELINE_CHANGES &&
+      (await replaceBeforeDeadline(address));
+    if (!isReplaced && isRecoveryNeeded()) stop("stage_away");
   }
 
-  function isNeeded(): boolean {
-    return !ended && recovering?.signal.aborted === false;
+  function isRecoveryNeeded(): boolean {
+    return !hasEnded && recovering?.signal.aborted === false;
   }
 
   /**
-   * Puts another engine of the lost one's failure domain in its place, as soon
-   * as one holds its layers. Engines elsewhere come last: the activations of
-   * all tokens of all these answers would pass the link between the domains.
+   * Replaces the stage as soon as another engine of the lost one's failure
+   * domain holds its layers. Engines of other domains are the last resort,
+   * because the activations of all tokens of all these answers would then pass
+   * the link between the domains.
    */
-  async function replaceSoon(address: string): Promise<boolean> {
-    const giveUpAt = performance.now() + LONGEST_WAIT_MS;
-    while (isNeeded()) {
+  async function replaceBeforeDeadline(address: string): Promise<boolean> {
+    const deadlineAt = performance.now() + MAX_REPLACEMENT_WAIT_MS;
+    while (isRecoveryNeeded()) {
       if (await replace(address, true)) return true;
-      if (!isNeeded()) return false;
+      if (!isRecoveryNeeded()) return false;
       if (run.mayGoElsewhere && hasRoomElsewhere()) return false;
-      if (performance.now() > giveUpAt) break;
-      await pause(WAIT_STEP_MS, call.signal);
+      if (performance.now() > deadlineAt) break;
+      await pause(REPLACEMENT_RETRY_MS, call.signal);
     }
-    return isNeeded() && (await replace(address, false));
+    return isRecoveryNeeded() && (await replace(address, false));
   }
 
   function hasRoomElsewhere(): boolean {
     const { service } = call;
     const { size, avoided } = run;
-    const mostLoad = MOST_LOAD_ELSEWHERE;
+    const mostLoad = MAX_LOAD_ELSEWHERE;
     return router.hasRoom({ service, size, avoided, mostLoad });
   }
 
   /**
-   * Puts other engines in the place of a lost stage. All answers that passed
-   * through it move at once, and the engine that comes first to mind is soon
-   * full; those that it refuses go to the next one. Taken up on a new pipeline
-   * instead, each would read all its tokens again on every stage, and use up
-   * one of the few runs that its route allows.
+   * Replaces a lost stage by other engines. All answers that passed through it
+   * move at the same time and soon fill the cheapest engine, so an answer that
+   * an engine refuses tries the next one. Restarting on a new pipeline instead
+   * would recompute all tokens on every stage and use up one of the few runs
+   * that the route allows.
    */
   async function replace(
     address: string,
     sameDomain: boolean,
   ): Promise<boolean> {
-    const full = new Set<string>();
-    for (let tries = 0; tries < MOST_TRIES; tries += 1) {
-      const moved = await replaceBy({ address, sameDomain, full });
-      if (moved !== "full") return moved === "moved";
+    const fullEngines = new Set<string>();
+    for (let attempt = 0; attempt < MAX_REPLACEMENT_ATTEMPTS; attempt += 1) {
+      const result = await tryReplacement({
+        address,
+        sameDomain,
+        full: fullEngines,
+      });
+      if (result !== "full") return result === "moved";
     }
     return false;
   }
 
-  async function replaceBy(change: {
+  async function tryReplacement(change: {
     readonly address: string;
     readonly sameDomain: boolean;
     readonly full: Set<string>;
-  }): Promise<Replacement> {
+  }): Promise<ReplacementResult> {
     const { address, sameDomain, full } = change;
-    const last = run.pipeline;
-    const next = router.replaceStage(last, {
+    const currentPipeline = run.pipeline;
+    const nextPipeline = router.replaceStage(currentPipeline, {
       service: call.service,
       size: run.size,
       avoided: new Set([...run.avoided, ...full]),
       address,
       sameDomain,
     });
-    if (!next) return "failed";
+    if (!nextPipeline) return "failed";
     const answer = await engines.changePipeline(
-      last.first.address,
-      { requestId: call.id, pipeline: next.stages },
+      currentPipeline.first.address,
+      { requestId: call.id, pipeline: nextPipeline.stages },
       CHANGE_TIMEOUT_MS,
     );
     log.info("pipeline_changed", {
       request: call.id,
       lost: address,
-      stages: next.stages.length,
+      stages: nextPipeline.stages.length,
       answer: answer.kind,
       detail: "detail" in answer ? answer.detail : undefined,
     });
-    if (answer.kind === "moved" && !ended) {
-      last.release();
-      run.pipeline = next;
-      changes += 1;
+    if (answer.kind === "moved" && !hasEnded) {
+      currentPipeline.release();
+      run.pipeline = nextPipeline;
+      changeCount += 1;
       options.onMoved();
       return "moved";
     }
-    next.release();
-    if (ended || answer.kind !== "no_room") return "failed";
-    const refusing = next.stages.find((one) => one.address === answer.address);
-    const isNew = refusing && !last.stages.includes(refusing);
-    if (!isNew) return "failed";
-    full.add(refusing.engineId);
-    fleet.detector.refused(refusing.engineId);
+    nextPipeline.release();
+    if (hasEnded || answer.kind !== "no_room") return "failed";
+    const refusingStage = nextPipeline.stages.find(
+      (stage) => stage.address === answer.address,
+    );
+    const isReplacementStage =
+      refusingStage && !currentPipeline.stages.includes(refusingStage);
+    if (!isReplacementStage) return "failed";
+    full.add(refusingStage.engineId);
+    fleet.detector.refused(refusingStage.engineId);
     return "full";
   }
 
   function stop(reason: RecoveryCause): void {
     cause = reason;
-    // A stream that can't be taken up elsewhere may still come to life.
+    // A stream that can't be resumed is left open, in case it recovers.
     if (call.route.resumable) run.stop.abort();
   }
 
   return {
     onStall(stall) {
-      if (recovering || ended || cause) return;
+      if (recovering || hasEnded || cause) return;
       recovering = new AbortController();
       void recover(stall).finally(() => {
         recovering = null;
@@ -198,7 +215,7 @@
     heard: () => recovering?.abort(),
     cause: () => cause,
     end() {
-      ended = true;
+      hasEnded = true;
     },
   };
 }
--- a/packages/gateway/src/streams/stage_recovery_test.ts
+++ b/packages/gateway/src/streams/stage_recovery_test.ts
@@ -24,38 +24,38 @@
 
 function pipeline(...stages: AddressedStage[]): ChosenPipeline {
   const first = { id: "first", address: "first:1" };
-  const counted = { begun: vi.fn(), release: vi.fn() };
-  return { stages, first, ...counted } as unknown as ChosenPipeline;
+  const reservation = { begun: vi.fn(), release: vi.fn() };
+  return { stages, first, ...reservation } as unknown as ChosenPipeline;
 }
 
-interface Surroundings {
-  /** What engines say to changes, in order. */
+interface RecoveryScenario {
+  /** Responses to pipeline changes, in order. */
   readonly answers?: readonly MoveAnswer[];
-  /** Engines of the lost one's domain that hold its layers. */
+  /** Engines in the lost engine's domain that hold its layers. */
   readonly near?: () => readonly string[];
-  /** Engines of other domains that do. */
+  /** Engines in other domains that hold its layers. */
   readonly far?: readonly string[];
   readonly hasRoomElsewhere?: boolean;
 }
 
-/** A run whose second stage is dead. */
+/** Sets up a run whose second stage is dead. */
 function setUp({
   answers = [],
   near = () => ["s1", "s2", "s3", "s4"],
   far = [],
   hasRoomElsewhere = false,
-}: Surroundings = {}) {
-  const kept = stage("first", 0, 4);
+}: RecoveryScenario = {}) {
+  const keptStage = stage("first", 0, 4);
   const run: StreamRun = {
-    pipeline: pipeline(kept, stage("dead", 4, 8)),
+    pipeline: pipeline(keptStage, stage("dead", 4, 8)),
     size: { promptTokens: 80, answerTokens: 20 },
     avoided: new Set<string>(),
     mayGoElsewhere: true,
     stop: new AbortController(),
   };
-  const asked: string[] = [];
+  const requestedEngines: string[] = [];
   const refused: string[] = [];
-  const left = [...answers];
+  const remainingAnswers = [...answers];
   const parts = {
     router: {
       hasRoom: () => hasRoomElsewhere,
@@ -67,8 +67,10 @@
         },
       ) {
         const choices = request.sameDomain ? near() : [...near(), ...far];
-        const spare = choices.find((id) => !request.avoided.has(id));
-        return spare ? pipeline(kept, stage(spare, 4, 8)) : null;
+        const spareEngine = choices.find((id) => !request.avoided.has(id));
+        return spareEngine
+          ? pipeline(keptStage, stage(spareEngine, 4, 8))
+          : null;
       },
     },
     engines: {
@@ -76,8 +78,8 @@
         _address: string,
         change: { pipeline: readonly AddressedStage[] },
       ) {
-        asked.push(change.pipeline.at(-1)?.engineId ?? "");
-        return left.shift() ?? { kind: "moved" };
+        requestedEngines.push(change.pipeline.at(-1)?.engineId ?? "");
+        return remainingAnswers.shift() ?? { kind: "moved" };
       },
     },
     fleet: { detector: { refused: (id: string) => refused.push(id) } },
@@ -91,7 +93,7 @@
   const onMoved = vi.fn();
   const recovery = createStageRecovery(call, run, { parts, onMoved });
   const settle = (ms = 0) => vi.advanceTimersByTimeAsync(ms);
-  return { run, asked, refused, recovery, onMoved, settle };
+  return { run, asked: requestedEngines, refused, recovery, onMoved, settle };
 }
 
 const full = (id: string): MoveAnswer => ({
@@ -99,8 +101,8 @@
   address: `${id}:1`,
 });
 
-describe("a stage that is lost", () => {
-  it("is replaced by the next engine when the first one is full", async () => {
+describe("recovery of a lost stage", () => {
+  it("tries the next engine when the first one is full", async () => {
     const { run, asked, refused, recovery, onMoved, settle } = setUp({
       answers: [full("s1"), { kind: "moved" }],
     });
@@ -113,7 +115,7 @@
     expect(run.stop.signal.aborted).toBe(false);
   });
 
-  it("has its run given up after three engines without room", async () => {
+  it("stops the run after three engines without room", async () => {
     const { run, asked, recovery, settle } = setUp({
       answers: [full("s1"), full("s2"), full("s3")],
       hasRoomElsewhere: true,
@@ -125,7 +127,7 @@
     expect(recovery.cause()).toBe("stage_away");
   });
 
-  it("has its run given up when a stage that stays has no room", async () => {
+  it("stops the run when a remaining stage has no room", async () => {
     const { run, asked, recovery, settle } = setUp({
       answers: [full("first")],
       hasRoomElsewhere: true,
@@ -136,7 +138,7 @@
     expect(run.stop.signal.aborted).toBe(true);
   });
 
-  it("is waited for while an engine of its domain loads its layers", async () => {
+  it("waits while an engine of the same domain loads the layers", async () => {
     let loaded: readonly string[] = [];
     const { run, asked, recovery, settle } = setUp({
       near: () => loaded,
@@ -151,7 +153,7 @@
     expect(run.stop.signal.aborted).toBe(false);
   });
 
-  it("is replaced from another domain before its caller leaves", async () => {
+  it("uses another domain before the caller gives up", async () => {
     const { run, asked, recovery, settle } = setUp({
       near: () => [],
       far: ["f1"],
@@ -164,7 +166,7 @@
     expect(run.stop.signal.aborted).toBe(false);
   });
 
-  it("has its run go elsewhere at once where there is room", async () => {
+  it("stops the run at once when another pipeline has room", async () => {
     const { run, recovery, settle } = setUp({
       near: () => [],
       hasRoomElsewhere: true,
@@ -175,7 +177,7 @@
     expect(run.avoided.has("dead")).toBe(true);
   });
 
-  it("is left alone when the answer goes on meanwhile", async () => {
+  it("stops when an event of the answer arrives", async () => {
     const { run, asked, recovery, settle } = setUp({ near: () => [] });
     recovery.onStall(STAGE_LOST);
     await settle(500);
@@ -186,7 +188,7 @@
   });
 });
 
-it("a run whose first engine is lost is given up at once", () => {
+it("recovery stops a run at once when its first engine is lost", () => {
   const { run, recovery } = setUp();
   recovery.onStall({ kind: "first_engine" });
   expect(run.stop.signal.aborted).toBe(true);
--- a/packages/gateway/src/streams/stall_detector.ts
+++ b/packages/gateway/src/streams/stall_detector.ts
@@ -1,9 +1,9 @@
 /**
- * Notices answers that stand still, and finds the engine that holds them up.
+ * Detects stalled answers and the engine that blocks them.
  *
- * All answers on one pipeline fall silent together when one of its engines is
- * lost. Their events together come far more often than those of one of them,
- * so that silence of all of them is noticed within a few times the usual gap.
+ * When an engine is lost, the events of all answers on its pipeline stop at the
+ * same time. Together these answers have much shorter gaps between events than
+ * a single one, so their common silence is detected much sooner.
  */
 import { createLogger } from "@rosemarypin/telemetry";
 import type { EngineReport } from "../backend_server.ts";
@@ -12,65 +12,68 @@
 import type { ChosenPipeline } from "./pipeline_router.ts";
 
 /**
- * Bounds of the time between two looks. Each is a wake-up of the process; what
- * becomes due between them becomes due later than the longer one.
+ * Bounds of the time between two ticks. Each tick wakes the process up. A
+ * deadline that is set between two ticks is never closer than the upper bound,
+ * so the next tick isn't too late for it.
  */
-const SHORTEST_TICK_MS = 20;
-const LONGEST_TICK_MS = 60;
-/** Bounds of the silence of a whole pipeline after which it is checked. */
-const SHORTEST_SILENCE_MS = 60;
-const LONGEST_SILENCE_MS = 350;
-/** The same in multiples of the longest gap that was seen lately. */
-const GAPS_OF_SILENCE = 1.5;
-/** Share of the longest gap that is left after one more event. */
-const GAP_DECAY = 0.995;
-/** Events after which a pipeline's gaps are known. */
-const EVENTS_OF_GAPS = 20;
-/** Silence of one answer after which its first engine is asked. */
-const ANSWER_SILENCE_MS = 350;
-/** The same before its first event, while its prompt is read. */
-const FIRST_EVENT_MS = 250;
-/** After a change of the pipeline, new stages read all tokens so far. */
-const AFTER_CHANGE_MS = 900;
-/** Bound on a report; engines in reach answer in a few milliseconds. */
+const MIN_TICK_MS = 20;
+const MAX_TICK_MS = 60;
+/** Bounds of the silence after which a whole pipeline is checked. */
+const MIN_PIPELINE_SILENCE_MS = 60;
+const MAX_PIPELINE_SILENCE_MS = 350;
+/** That silence as a multiple of the longest recent gap between events. */
+const SILENCE_GAP_FACTOR = 1.5;
+/** Factor by which each event reduces the longest recent gap. */
+const GAP_DECAY_PER_EVENT = 0.995;
+/** Events after which the gaps of a pipeline are reliable. */
+const MIN_EVENTS_FOR_GAPS = 20;
+/** Silence of one answer after which its first engine is probed. */
+const MAX_ANSWER_SILENCE_MS = 350;
+/** Time allowed for the first event, while the engines read the prompt. */
+const FIRST_EVENT_TIMEOUT_MS = 250;
+/** Time allowed for the next event, while a new stage reads all tokens. */
+const EVENT_AFTER_CHANGE_TIMEOUT_MS = 900;
+/** Engines that are reachable report within a few milliseconds. */
 const PROBE_TIMEOUT_MS = 100;
 /**
- * Pause before a pipeline is checked again; doubled up to the longest with
- * each check that found nothing. Engines that turn slow stay silent for longer
- * than expected all the time.
+ * Bounds of the pause between two checks of a pipeline, which doubles with each
+ * check. Without this backoff, engines that become slow would be probed all the
+ * time, since their gaps stay longer than expected.
  */
-const FIRST_RECHECK_MS = 100;
-const LONGEST_RECHECK_MS = 800;
-/** Without a check for so long, the pause begins at the first again. */
-const FORGET_CHECKS_MS = 2_000;
-/** A report serves all pipelines that ask within this time. */
-const REPORT_HOLDS_MS = 100;
+const MIN_RECHECK_MS = 100;
+const MAX_RECHECK_MS = 800;
+/** Time without a check after which the pause starts at its minimum. */
+const RECHECK_RESET_MS = 2_000;
+/** Time for which pipelines share the report of an engine. */
+const REPORT_CACHE_MS = 100;
 /**
- * A look that comes so late shows that this process was held up itself: what
- * engines sent meanwhile is not read yet, and says nothing of them.
+ * Delay of a tick that shows that this process was itself blocked. Events that
+ * arrived meanwhile are still unread, so the silence says nothing about the
+ * engines.
  */
-const HELD_UP_MS = 40;
+const PROCESS_STALL_MS = 40;
 
 const log = createLogger("streams");
 
-/** What holds an answer up. */
+/** The cause of a stalled answer. */
 export type Stall =
-  /** The engine that carries the answer does not respond. */
+  /** The engine that streams the answer does not respond. */
   | { readonly kind: "first_engine" }
-  /** A later stage does not respond to us, or to its neighbour. */
+  /** A later stage does not respond to this instance or to another stage. */
   | { readonly kind: "stage"; readonly address: string };
 
-/** An answer in progress, as the detector sees it. */
+/** An answer in progress that the detector follows. */
 export interface FollowedAnswer {
   readonly requestId: string;
+  /** The current pipeline of the answer. */
   pipeline(): ChosenPipeline;
   onStall(stall: Stall): void;
 }
 
 export interface AnswerFollower {
-  /** An event came. */
+  /** Reports an event of the answer. */
   heard(): void;
-  /** The pipeline was changed. */
+  /** Reports that the answer's pipeline was changed. */
   moved(): void;
   end(): void;
 }
@@ -79,18 +82,19 @@
   follow(answer: FollowedAnswer): AnswerFollower;
 }
 
-interface Followed {
+interface AnswerState {
   readonly answer: FollowedAnswer;
-  group: Group;
+  group: PipelineGroup;
+  /** Whether an event arrived since the last change of the pipeline. */
   hasBegun: boolean;
-  /** Nothing is expected of it before this. */
+  /** Deadline for the next event. */
   dueAt: number;
 }
 
-/** The answers on one pipeline. */
-interface Group {
+/** The answers on one pipeline and the state of its checks. */
+interface PipelineGroup {
   readonly key: string;
-  readonly members: Set<Followed>;
+  readonly members: Set<AnswerState>;
   heardAt: number;
   events: number;
   longestGapMs: number;
@@ -99,16 +103,16 @@
   nextCheckAt: number;
 }
 
-/** A report that other pipelines may use too. */
-interface SharedReport {
+/** A requested report, shared by pipelines with the same engine. */
+interface CachedReport {
   readonly at: number;
   readonly report: Promise<EngineReport | null>;
 }
 
-interface AskedEngine {
+interface ProbedEngine {
   readonly engineId: string;
   readonly address: string;
-  /** `null` when none came in time. */
+  /** `null` when it did not arrive in time. */
   readonly report: EngineReport | null;
 }
 
@@ -122,221 +126,243 @@
   fleet,
   engines,
 }: StallDetectorOptions): StallDetector {
-  const groups = new Map<string, Group>();
-  const shared = new Map<string, SharedReport>();
-  let ticker: NodeJS.Timeout | null = null;
+  const groups = new Map<string, PipelineGroup>();
+  const cachedReports = new Map<string, CachedReport>();
+  let tickTimer: NodeJS.Timeout | null = null;
   let tickDueAt = performance.now();
-  let heldUpAt = -Infinity;
+  let processStalledAt = -Infinity;
 
-  function groupOf(pipeline: ChosenPipeline): Group {
+  function groupOf(pipeline: ChosenPipeline): PipelineGroup {
     const key = pipeline.stages.map(({ engineId }) => engineId).join(",");
-    const known = groups.get(key);
-    if (known) return known;
-    const group: Group = {
+    const existing = groups.get(key);
+    if (existing) return existing;
+    const group: PipelineGroup = {
       key,
       members: new Set(),
       heardAt: performance.now(),
       events: 0,
       longestGapMs: 0,
       checking: false,
-      recheckMs: FIRST_RECHECK_MS,
+      recheckMs: MIN_RECHECK_MS,
       nextCheckAt: 0,
     };
     groups.set(key, group);
     return group;
   }
 
-  function join(followed: Followed, waitMs: number): void {
-    followed.group = groupOf(followed.answer.pipeline());
-    followed.group.members.add(followed);
-    followed.dueAt = performance.now() + waitMs;
-    if (!ticker) tickAfter(SHORTEST_TICK_MS);
+  function joinGroup(answerState: AnswerState, waitMs: number): void {
+    answerState.group = groupOf(answerState.answer.pipeline());
+    answerState.group.members.add(answerState);
+    answerState.dueAt = performance.now() + waitMs;
+    if (!tickTimer) scheduleTick(MIN_TICK_MS);
   }
 
-  function leave(followed: Followed): void {
-    const { group } = followed;
-    group.members.delete(followed);
+  function leaveGroup(answerState: AnswerState): void {
+    const { group } = answerState;
+    group.members.delete(answerState);
     if (group.members.size === 0) groups.delete(group.key);
     if (groups.size > 0) return;
-    if (ticker) clearTimeout(ticker);
-    ticker = null;
+    if (tickTimer) clearTimeout(tickTimer);
+    tickTimer = null;
   }
 
-  function heard(followed: Followed): void {
+  function recordEvent(answerState: AnswerState): void {
     const now = performance.now();
-    const { group } = followed;
+    const { group } = answerState;
     const gapMs = now - group.heardAt;
     group.heardAt = now;
     group.events += 1;
-    if (followed.hasBegun) noteGap(group, gapMs);
-    followed.hasBegun = true;
-    followed.dueAt = now + ANSWER_SILENCE_MS;
+    if (answerState.hasBegun) recordGap(group, gapMs);
+    answerState.hasBegun = true;
+    answerState.dueAt = now + MAX_ANSWER_SILENCE_MS;
   }
 
-  function tickAfter(ms: number): void {
+  function scheduleTick(ms: number): void {
     tickDueAt = performance.now() + ms;
-    ticker = setTimeout(tick, ms);
+    tickTimer = setTimeout(tick, ms);
   }
 
   function tick(): void {
     const now = performance.now();
-    ticker = null;
-    if (isLate()) {
-      heldUpAt = now;
-      return tickAfter(SHORTEST_TICK_MS);
+    tickTimer = null;
+    if (isTickOverdue()) {
+      processStalledAt = now;
+      return scheduleTick(MIN_TICK_MS);
     }
     for (const group of [...groups.values()]) {
-      if (!group.checking && now >= group.nextCheckAt) look(group, now);
+      if (!group.checking && now >= group.nextCheckAt) checkIfDue(group, now);
     }
-    // What came of it may have ended the last answer, or begun the next one.
-    if (groups.size === 0 || ticker) return;
-    const waitMs = Math.min(...[...groups.values()].map(dueAtOf)) - now;
-    tickAfter(Math.min(LONGEST_TICK_MS, Math.max(SHORTEST_TICK_MS, waitMs)));
+    // Checks may have ended the last answer, or have scheduled a tick.
+    if (groups.size === 0 || tickTimer) return;
+    const waitMs = Math.min(...[...groups.values()].map(nextCheckDueAt)) - now;
+    scheduleTick(Math.min(MAX_TICK_MS, Math.max(MIN_TICK_MS, waitMs)));
   }
 
-  /** When a pipeline is to be looked at, if nothing is heard until then. */
-  function dueAtOf(group: Group): number {
+  /** When to check the pipeline if no event arrives until then. */
+  function nextCheckDueAt(group: PipelineGroup): number {
     const members = [...group.members];
     const answersDueAt = Math.min(...members.map(({ dueAt }) => dueAt));
-    const hasBegun = members.some((one) => one.hasBegun);
-    const silentAt = group.heardAt + (hasBegun ? silenceMs(group) : Infinity);
+    const hasBegun = members.some((member) => member.hasBegun);
+    const silentAt =
+      group.heardAt + (hasBegun ? silenceLimitMs(group) : Infinity);
     return Math.max(group.nextCheckAt, Math.min(answersDueAt, silentAt));
   }
 
-  function look(group: Group, now: number): void {
-    const begun = [...group.members].filter(({ hasBegun }) => hasBegun);
+  function checkIfDue(group: PipelineGroup, now: number): void {
+    const begunAnswers = [...group.members].filter(({ hasBegun }) => hasBegun);
     const isSilent =
-      begun.length > 0 && now - group.heardAt >= silenceMs(group);
+      begunAnswers.length > 0 && now - group.heardAt >= silenceLimitMs(group);
     const isFirstDue = [...group.members].some(
       ({ hasBegun, dueAt }) => !hasBegun && now >= dueAt,
     );
-    if (isSilent || (isFirstDue && begun.length === 0)) {
-      void check(group, true);
+    if (isSilent || (isFirstDue && begunAnswers.length === 0)) {
+      void checkPipeline(group, true);
     } else if ([...group.members].some(({ dueAt }) => now >= dueAt)) {
-      void check(group, false);
+      void checkPipeline(group, false);
     }
   }
 
-  /** Asks all engines of a pipeline, or the first one only. */
-  async function check(group: Group, all: boolean): Promise<void> {
+  /** Probes all engines of a pipeline, or only the first one. */
+  async function checkPipeline(
+    group: PipelineGroup,
+    probeAll: boolean,
+  ): Promise<void> {
     const [member] = group.members;
     if (!member) return;
     const { stages } = member.answer.pipeline();
-    const begunAt = performance.now();
-    const restedMs = begunAt - group.nextCheckAt;
-    if (restedMs > FORGET_CHECKS_MS) group.recheckMs = FIRST_RECHECK_MS;
+    const checkStartedAt = performance.now();
+    const idleMs = checkStartedAt - group.nextCheckAt;
+    if (idleMs > RECHECK_RESET_MS) group.recheckMs = MIN_RECHECK_MS;
     group.checking = true;
-    const asked = await Promise.all(
-      (all ? stages : stages.slice(0, 1)).map(async ({ engineId, address }) => {
-        return { engineId, address, report: await ask(engineId, address) };
-      }),
+    const probed = await Promise.all(
+      (probeAll ? stages : stages.slice(0, 1)).map(
+        async ({ engineId, address }) => {
+          return {
+            engineId,
+            address,
+            report: await requestReport(engineId, address),
+          };
+        },
+      ),
     );
     group.checking = false;
     group.nextCheckAt = performance.now() + group.recheckMs;
-    group.recheckMs = Math.min(LONGEST_RECHECK_MS, group.recheckMs * 2);
-    const isHeldUp = heldUpAt >= begunAt || isLate();
-    const isMoving = group.heardAt > begunAt;
-    const hasFailed = asked.some(({ report }) => !report);
-    if (isHeldUp || (isMoving && (all || hasFailed))) return;
-    conclude(group, asked);
+    group.recheckMs = Math.min(MAX_RECHECK_MS, group.recheckMs * 2);
+    const wasProcessStalled =
+      processStalledAt >= checkStartedAt || isTickOverdue();
+    const hasProgressed = group.heardAt > checkStartedAt;
+    const hasMissingReport = probed.some(({ report }) => !report);
+    if (wasProcessStalled || (hasProgressed && (probeAll || hasMissingReport)))
+      return;
+    evaluateReports(group, probed);
   }
 
-  /** Whether the next look is overdue, before it could say so itself. */
-  function isLate(): boolean {
-    return performance.now() - tickDueAt > HELD_UP_MS;
+  /** Whether the scheduled tick is late by the delay of a blocked process. */
+  function isTickOverdue(): boolean {
+    return performance.now() - tickDueAt > PROCESS_STALL_MS;
   }
 
-  /** Judges by reports of the first engine and of any others. */
-  function conclude(group: Group, asked: readonly AskedEngine[]): void {
-    const lost = asked.filter(({ report }) => !report);
+  /** Suspects engines without a report and notifies the stalled answers. */
+  function evaluateReports(
+    group: PipelineGroup,
+    probed: readonly ProbedEngine[],
+  ): void {
+    const lost = probed.filter(({ report }) => !report);
     for (const { engineId } of lost)
       fleet.detector.away(engineId, "unresponsive");
     if (lost.length > 0) {
       log.warn("pipeline_silent", {
-        first: asked[0]?.engineId,
+        first: probed[0]?.engineId,
         lost: lost.map(({ engineId }) => engineId).join(","),
         answers: group.members.size,
         silent_ms: (performance.now() - group.heardAt).toFixed(0),
       });
     }
-    const firstReport = asked[0]?.report;
-    if (!firstReport) return tell(group, () => ({ kind: "first_engine" }));
+    const firstReport = probed[0]?.report;
+    if (!firstReport)
+      return notifyStalled(group, () => ({ kind: "first_engine" }));
     const [lostStage] = lost;
     if (lostStage) {
       const { address } = lostStage;
-      return tell(group, () => ({ kind: "stage", address }));
+      return notifyStalled(group, () => ({ kind: "stage", address }));
     }
     const stalled = new Map(
       firstReport.stalled.map(({ requestId, address }) => [requestId, address]),
     );
-    tell(group, ({ requestId }) => {
+    notifyStalled(group, ({ requestId }) => {
       const address = stalled.get(requestId);
-      return address === undefined ? null : stageStall(address);
+      return address === undefined ? null : suspectStage(address);
     });
   }
 
-  /** A stage that its neighbour does not reach, while we may. */
-  function stageStall(address: string): Stall {
+  /** Suspects a stage that another stage reported as unreachable. */
+  function suspectStage(address: string): Stall {
     const stage = fleet.byAddress(address);
     if (stage) fleet.detector.away(stage.id, "silent");
     return { kind: "stage", address };
   }
 
-  function tell(
-    group: Group,
-    judge: (answer: FollowedAnswer) => Stall | null,
+  function notifyStalled(
+    group: PipelineGroup,
+    findStall: (answer: FollowedAnswer) => Stall | null,
   ): void {
     for (const { answer } of [...group.members]) {
-      const stall = judge(answer);
+      const stall = findStall(answer);
       if (stall) answer.onStall(stall);
     }
   }
 
-  function ask(id: string, address: string): Promise<EngineReport | null> {
+  function requestReport(
+    id: string,
+    address: string,
+  ): Promise<EngineReport | null> {
     const now = performance.now();
-    const last = shared.get(id);
-    if (last && now - last.at < REPORT_HOLDS_MS) return last.report;
+    const cached = cachedReports.get(id);
+    if (cached && now - cached.at < REPORT_CACHE_MS) return cached.report;
     const report = engines.report(address, PROBE_TIMEOUT_MS);
-    shared.set(id, { at: now, report });
-    return report.then((told) => {
-      if (told) fleet.putReport(id, told);
-      return told;
+    cachedReports.set(id, { at: now, report });
+    return report.then((received) => {
+      if (received) fleet.putReport(id, received);
+      return received;
     });
   }
 
   return {
     follow(answer) {
-      const followed: Followed = {
+      const answerState: AnswerState = {
         answer,
         group: groupOf(answer.pipeline()),
         hasBegun: false,
         dueAt: 0,
       };
-      join(followed, FIRST_EVENT_MS);
+      joinGroup(answerState, FIRST_EVENT_TIMEOUT_MS);
       return {
-        heard: () => heard(followed),
+        heard: () => recordEvent(answerState),
         moved() {
-          leave(followed);
-          // Its new stages have all its tokens to read first.
-          followed.hasBegun = false;
-          join(followed, AFTER_CHANGE_MS);
+          leaveGroup(answerState);
+          // A new stage has to read all tokens so far before the next event.
+          answerState.hasBegun = false;
+          joinGroup(answerState, EVENT_AFTER_CHANGE_TIMEOUT_MS);
         },
-        end: () => leave(followed),
+        end: () => leaveGroup(answerState),
       };
     },
   };
 }
 
-/** Takes a gap between events in; one that was a stall counts as a long one. */
-function noteGap(group: Group, gapMs: number): void {
-  const mostMs = LONGEST_SILENCE_MS / GAPS_OF_SILENCE;
-  const decayedMs = group.longestGapMs * GAP_DECAY;
-  group.longestGapMs = Math.max(decayedMs, Math.min(gapMs, mostMs));
+/** Records a gap between events; that of a stall is capped. */
+function recordGap(group: PipelineGroup, gapMs: number): void {
+  const maxGapMs = MAX_PIPELINE_SILENCE_MS / SILENCE_GAP_FACTOR;
+  const decayedMs = group.longestGapMs * GAP_DECAY_PER_EVENT;
+  group.longestGapMs = Math.max(decayedMs, Math.min(gapMs, maxGapMs));
 }
 
-/** Silence of all answers on a pipeline that is out of the ordinary. */
-function silenceMs({ events, longestGapMs }: Group): number {
-  if (events < EVENTS_OF_GAPS) return LONGEST_SILENCE_MS;
-  const silentMs = GAPS_OF_SILENCE * longestGapMs;
-  return Math.min(LONGEST_SILENCE_MS, Math.max(SHORTEST_SILENCE_MS, silentMs));
+/** Silence of all answers on a pipeline after which it is checked. */
+function silenceLimitMs({ events, longestGapMs }: PipelineGroup): number {
+  if (events < MIN_EVENTS_FOR_GAPS) return MAX_PIPELINE_SILENCE_MS;
+  const silentMs = SILENCE_GAP_FACTOR * longestGapMs;
+  return Math.min(
+    MAX_PIPELINE_SILENCE_MS,
+    Math.max(MIN_PIPELINE_SILENCE_MS, silentMs),
+  );
 }
--- a/packages/gateway/src/streams/stall_detector_test.ts
+++ b/packages/gateway/src/streams/stall_detector_test.ts
@@ -21,23 +21,25 @@
 const EVENT_EVERY_MS = 40;
 
 function setUp() {
-  const dead = new Set<string>();
-  const asked: string[] = [];
-  const away: string[] = [];
+  const deadEngines = new Set<string>();
+  const probedEngines: string[] = [];
+  const suspectedEngines: string[] = [];
   let stalled: EngineReport["stalled"] = [];
   let reportAfterMs = 2;
 
   const engines = {
     async report(address: string, timeoutMs: number) {
       const id = address.split(":")[0] ?? "";
-      asked.push(id);
-      const waitMs = dead.has(id) ? timeoutMs : reportAfterMs;
+      probedEngines.push(id);
+      const waitMs = deadEngines.has(id) ? timeoutMs : reportAfterMs;
       await new Promise((resolve) => setTimeout(resolve, waitMs));
-      return dead.has(id) ? null : ({ stalled } as unknown as EngineReport);
+      return deadEngines.has(id)
+        ? null
+        : ({ stalled } as unknown as EngineReport);
     },
   } as unknown as EngineCalls;
   const fleet = {
-    detector: { away: (id: string) => away.push(id) },
+    detector: { away: (id: string) => suspectedEngines.push(id) },
     putReport: () => {},
     byAddress: (address: string) => ({ id: address.split(":")[0] }),
   } as unknown as BackendFleet;
@@ -53,7 +55,7 @@
   const stalls: [string, Stall][] = [];
   const followers: AnswerFollower[] = [];
 
-  /** Follows some answers with an event each 40 ms, spread evenly. */
+  /** Follows answers that each have an event every 40 ms, spread evenly. */
   async function stream(answers: number, forMs: number): Promise<void> {
     while (followers.length < answers) {
       const requestId = `r${followers.length}`;
@@ -73,9 +75,9 @@
   }
 
   return {
-    dead,
-    asked,
-    away,
+    dead: deadEngines,
+    asked: probedEngines,
+    away: suspectedEngines,
     stalls,
     followers,
     stream,
@@ -92,8 +94,8 @@
   };
 }
 
-describe("a pipeline whose answers all fall silent", () => {
-  it("has the engine found that does not respond, for all of them", async () => {
+describe("stall detection on a pipeline without events", () => {
+  it("finds the unresponsive engine for all answers", async () => {
     const { dead, stalls, away, stream, silence, end } = setUp();
     await stream(10, 1_000);
     dead.add("second");
@@ -105,14 +107,14 @@
     end();
   });
 
-  it("is not checked while events come as usual", async () => {
+  it("probes no engine while events arrive regularly", async () => {
     const { asked, stream, end } = setUp();
     await stream(10, 3_000);
     expect(asked).toEqual([]);
     end();
   });
 
-  it("is left alone when all engines respond", async () => {
+  it("reports no stall when all engines respond", async () => {
     const { stalls, away, stream, silence, end } = setUp();
     await stream(10, 1_000);
     await silence(1_500);
@@ -121,8 +123,8 @@
     end();
   });
 
-  // Guards against engines that turn slow and are then asked all the time.
-  it("is asked seldom while it only runs slowly", async () => {
+  // Guards against probing engines all the time once they become slow.
+  it("backs off while engines are only slow", async () => {
     const { asked, stalls, followers, stream, silence, end } = setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 40; pause += 1) {
@@ -134,7 +136,7 @@
     end();
   });
 
-  it("is checked soon again once it ran as usual for a while", async () => {
+  it("resets the backoff after a period of regular events", async () => {
     const { dead, away, followers, stream, silence, end } = setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 10; pause += 1) {
@@ -148,7 +150,7 @@
     end();
   });
 
-  it("tells of its first engine when that one is lost", async () => {
+  it("reports the first engine when it is lost with another", async () => {
     const { dead, stalls, stream, silence, end } = setUp();
     await stream(4, 1_000);
     dead.add("first");
@@ -160,7 +162,7 @@
     end();
   });
 
-  it("is left alone when events come while engines are asked", async () => {
+  it("reports no stall when events arrive during the check", async () => {
     const { dead, stalls, away, stream, silence, end } = setUp();
     await stream(10, 1_000);
     dead.add("second");
@@ -171,14 +173,14 @@
     end();
   });
 
-  it("is not judged while this process was held up itself", async () => {
+  it("reports no stall after this process was blocked", async () => {
     const { dead, asked, stalls, stream, end } = setUp();
     await stream(10, 1_000);
     dead.add("second");
     const now = performance.now.bind(performance);
     vi.spyOn(performance, "now").mockImplementation(() => now() + 3_000);
     await vi.advanceTimersToNextTimerAsync();
-    // What was sent meanwhile is read now.
+    // Events that arrived while the process was blocked are read now.
     await stream(10, 100);
     expect(asked).not.toContain("second");
     expect(stalls).toEqual([]);
@@ -187,8 +189,8 @@
   });
 });
 
-describe("an answer that stands still alone", () => {
-  it("has its first engine asked, which names the stage", async () => {
+describe("stall detection of a single answer", () => {
+  it("finds the stage by the report of the first engine", async () => {
     const { stallOf, stalls, followers, silence, stream, end } = setUp();
     await stream(3, 1_000);
     stallOf("r0", "third:1");
@@ -202,7 +204,7 @@
     end();
   });
 
-  it("is not given up for one report that came late", async () => {
+  it("ignores one report that arrives late", async () => {
     const { slowReports, dead, stalls, followers, silence, stream, end } =
       setUp();
     await stream(3, 1_000);
@@ -218,7 +220,7 @@
   });
 });
 
-it("an answer without a first event has all engines asked", async () => {
+it("stall detection probes all engines of an answer without events", async () => {
   const { dead, stalls, asked, silence, stream, end } = setUp();
   dead.add("third");
   void stream(1, 0);
@@ -228,7 +230,7 @@
   end();
 });
 
-it("wakes seldom while answers come as usual", async () => {
+it("stall detection rarely wakes up while events arrive regularly", async () => {
   const { stream, end } = setUp();
   const timers = vi.spyOn(globalThis, "setTimeout");
   await stream(10, 1_000);
--- a/packages/gateway/src/streams/stream_run.ts
+++ b/packages/gateway/src/streams/stream_run.ts
@@ -1,4 +1,4 @@
-/** One run of a streamed answer on one pipeline. */
+/** Runs a streamed answer on one pipeline. */
 import { once } from "node:events";
 import { createLogger } from "@rosemarypin/telemetry";
 import { awayReason, type OpenAnswer } from "../backends/mod.ts";
@@ -30,11 +30,11 @@
   readonly engines: EngineCalls;
 }
 
-const MISDIRECTED = 421;
+const MISDIRECTED_REQUEST = 421;
 
 const log = createLogger("streams");
 
-/** What the caller has of the answer so far. */
+/** The part of the answer that the caller has received so far. */
 export interface StreamProgress {
   begun: boolean;
   lastEventId: string | null;
@@ -43,7 +43,7 @@
 
 export type RunEnd =
   | { readonly kind: "complete"; readonly status: number }
-  /** A failure that the server has signed, held back until it is final. */
+  /** An error response of the server, kept until no other run follows. */
   | {
       readonly kind: "failed";
       readonly answer: OpenAnswer;
@@ -53,11 +53,11 @@
   | {
       readonly kind: "broken";
       readonly detail: string;
-      /** Whether the engine that it was sent to has ended or was cut off. */
+      /** Whether the engine that received the request stopped responding. */
       readonly firstEngineAway: boolean;
     };
 
-/** Sends the call over the run's pipeline and passes on what comes. */
+/** Sends the call to the run's pipeline and forwards the events to the caller. */
 export async function runStream(
   call: CallerCall,
   run: StreamRun,
@@ -89,20 +89,20 @@
       parts.fleet.detector.away(id, awayReason(result.detail));
       return { kind: "not_run", detail: result.detail };
     }
-    if (result.kind === "broken") return broken(recovery, result.detail);
+    if (result.kind === "broken") return brokenRun(recovery, result.detail);
     const facts = parts.codec.decodeAnswer(result.status, result.headers);
     if (!isOwnAnswer(call, facts)) {
       result.abandon();
-      return broken(recovery, "answer_of_another_request");
+      return brokenRun(recovery, "answer_of_another_request");
     }
     if (result.status >= 300)
-      return await readRefusal(run, result, { facts, parts });
+      return await readErrorAnswer(run, result, { facts, parts });
     if (!facts.signed) {
       result.abandon();
-      return broken(recovery, "unsigned_answer");
+      return brokenRun(recovery, "unsigned_answer");
     }
     const { codec } = parts;
-    return await passOnEvents(call, result, {
+    return await forwardEvents(call, result, {
       run,
       progress,
       codec,
@@ -110,7 +110,7 @@
       recovery,
     });
   } catch (error) {
-    return broken(
+    return brokenRun(
       recovery,
       error instanceof Error ? error.message : String(error),
     );
@@ -121,7 +121,7 @@
   }
 }
 
-function broken(recovery: StageRecovery, detail: string): RunEnd {
+function brokenRun(recovery: StageRecovery, detail: string): RunEnd {
   const cause = recovery.cause();
   return {
     kind: "broken",
@@ -148,7 +148,7 @@
   });
 }
 
-async function readRefusal(
+async function readErrorAnswer(
   run: StreamRun,
   answer: OpenAnswer,
   options: { readonly facts: AnswerFacts; readonly parts: StreamParts },
@@ -156,21 +156,25 @@
   const { facts, parts } = options;
   const body = await readWhole(answer);
   if (!facts.notRun) return { kind: "failed", answer, body };
-  const atFault = facts.faultyStage
+  const faultyServer = facts.faultyStage
     ? parts.fleet.byAddress(facts.faultyStage)
     : run.pipeline.first;
-  // A refusal without a stage at fault comes from the engine that it was sent
-  // to: the one there is not the one that was meant.
-  if (atFault && answer.status === MISDIRECTED && !facts.faultyStage) {
-    parts.fleet.replaced(atFault.id);
-  } else if (atFault) {
-    run.avoided.add(atFault.id);
-    parts.fleet.recheck(atFault.id);
+  // A 421 that names no faulty stage means that another engine now has the
+  // address of the first stage.
+  if (
+    faultyServer &&
+    answer.status === MISDIRECTED_REQUEST &&
+    !facts.faultyStage
+  ) {
+    parts.fleet.replaced(faultyServer.id);
+  } else if (faultyServer) {
+    run.avoided.add(faultyServer.id);
+    parts.fleet.recheck(faultyServer.id);
   }
   return { kind: "not_run", detail: `refused_${answer.status}` };
 }
 
-async function passOnEvents(
+async function forwardEvents(
   call: CallerCall,
   answer: OpenAnswer,
   options: {
@@ -199,21 +203,21 @@
       }
       if (event.id !== null) progress.lastEventId = event.id;
       progress.pace.event();
-      if (!response.write(event.bytes)) await drained(call);
+      if (!response.write(event.bytes)) await waitForDrain(call);
     }
   }
-  const rest = splitter.rest();
-  if (rest.length > 0) response.write(rest);
+  const trailingBytes = splitter.rest();
+  if (trailingBytes.length > 0) response.write(trailingBytes);
   response.end();
   return { kind: "complete", status: answer.status };
 }
 
-/** A run that was taken up may begin with events that the caller has. */
-function isRepeated(id: string, last: string | null): boolean {
-  return last !== null && Number(id) <= Number(last);
+/** A resumed run may start with events that the caller already has. */
+function isRepeated(id: string, lastEventId: string | null): boolean {
+  return lastEventId !== null && Number(id) <= Number(lastEventId);
 }
 
-/** Resolves when the caller has read on, or nobody waits any more. */
-async function drained({ response, signal }: CallerCall): Promise<void> {
+/** Resolves when the response accepts more data or the call is aborted. */
+async function waitForDrain({ response, signal }: CallerCall): Promise<void> {
   await once(response, "drain", { signal }).catch(() => {});
 }
--- /dev/null
+++ b/packages/gateway/src/streams/usage_destinations_test.ts
@@ -0,0 +1,45 @@
+import { describe, expect, it } from "vitest";
+import type { LiveInstance } from "../following/mod.ts";
+import { chooseToldPeers } from "./usage_destinations.ts";
+
+function instances(sizes: Readonly<Record<string, number>>): LiveInstance[] {
+  return Object.entries(sizes).flatMap(([failureDomain, size]) =>
+    Array.from({ length: size }, (_, at) => {
+      const instance = `${failureDomain}-${at}`;
+      return { instance, failureDomain, peer: { host: instance, port: 1 } };
+    }),
+  );
+}
+
+/** Hosts to which an instance of domain `a` sends reports. */
+function destinationHosts(others: readonly LiveInstance[]): string[] {
+  return chooseToldPeers("a", others).map(({ host }) => host);
+}
+
+describe("usage destinations", () => {
+  it("include all peers when there are few", () => {
+    expect(destinationHosts(instances({ a: 1, b: 2 }))).toEqual([
+      "a-0",
+      "b-0",
+      "b-1",
+    ]);
+  });
+
+  // Guards against treating full engines of another domain as free because the
+  // one sampled peer there has no answers on them.
+  it("include only the same failure domain when there are many peers", () => {
+    expect(destinationHosts(instances({ a: 3, b: 9, c: 9 }))).toEqual([
+      "a-0",
+      "a-1",
+      "a-2",
+    ]);
+  });
+
+  it("exclude peers without an address", () => {
+    const others = instances({ a: 2 }).map((other) => ({
+      ...other,
+      peer: null,
+    }));
+    expect(destinationHosts(others)).toEqual([]);
+  });
+});
--- a/packages/gateway/src/streams/use_exchange_test.ts
+++ b/packages/gateway/src/streams/usage_exchange_test.ts
@@ -1,7 +1,7 @@
 import type { DatagramTransport } from "@rosemarypin/membership";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { createEngineUse, type EngineUse } from "./engine_use.ts";
-import { startUseExchange } from "./use_exchange.ts";
+import { createEngineUse, type EngineUsage } from "./engine_usage.ts";
+import { startUseExchange } from "./usage_exchange.ts";
 
 const END = new AbortController();
 
@@ -13,7 +13,7 @@
   vi.useRealTimers();
 });
 
-/** A network that hands datagrams over at once and counts their bytes. */
+/** Creates a network that delivers datagrams at once and counts bytes sent. */
 function createNetwork() {
   const receivers = new Map<string, (datagram: Uint8Array) => void>();
   const sentBytes = new Map<string, number>();
@@ -55,9 +55,9 @@
   return { network, uses };
 }
 
-/** Counts an answer of so many tokens at some engines of one layer each. */
+/** Counts an answer with `tokens` tokens at engines of one layer each. */
 function takeAt(
-  use: EngineUse | undefined,
+  use: EngineUsage | undefined,
   engineIds: readonly string[],
   tokens: number,
 ) {
@@ -73,8 +73,8 @@
   return Buffer.from(JSON.stringify({ jsonrpc: "2.0", method, params }));
 }
 
-describe("the exchange of engines' use", () => {
-  it("brings a burst to the others within 50 ms", async () => {
+describe("usage exchange", () => {
+  it("reports a burst to all peers within 50 ms", async () => {
     const { uses } = start(["a", "b", "c"]);
     await vi.advanceTimersByTimeAsync(1_500);
     takeAt(uses[0], ["e-1"], 1_000);
@@ -84,7 +84,7 @@
     expect(held).toEqual([100, 1_000, 1_100]);
   });
 
-  it("brings small changes to the others within a second or so", async () => {
+  it("reports small changes within about one second", async () => {
     const { uses } = start(["a", "b"]);
     takeAt(uses[0], ["e-1"], 1_000);
     await vi.advanceTimersByTimeAsync(100);
@@ -93,7 +93,7 @@
     expect(uses[1]?.byOthers("e-1")).toEqual({ held: 1_010, unread: 2 });
   });
 
-  it("keeps to its bytes a second among many instances", async () => {
+  it("stays within its byte budget with many instances", async () => {
     const hosts = Array.from({ length: 40 }, (_, index) => `i-${index}`);
     const { network, uses } = start(hosts);
     const engineIds = Array.from({ length: 60 }, (_, at) => `i-engine-${at}`);
@@ -106,7 +106,7 @@
     expect(perSecond).toBeGreaterThan(500);
   });
 
-  it("wakes no more often than it can send, among many instances", async () => {
+  it("wakes up no more often than its byte budget allows sending", async () => {
     const hosts = Array.from({ length: 40 }, (_, index) => `i-${index}`);
     const { uses } = start(hosts);
     const engineIds = Array.from({ length: 60 }, (_, at) => `i-engine-${at}`);
@@ -120,30 +120,30 @@
     expect(perSecond).toBeLessThan(5);
   });
 
-  it("takes nothing from a datagram that came late", () => {
+  it("ignores datagrams that arrive out of order", () => {
     const { network, uses } = start(["a"]);
-    const news = (sequence: number, tokens: number, startedAt = 5) =>
+    const usageDatagram = (sequence: number, tokens: number, startedAt = 5) =>
       notification({
         from: "b",
         sequence,
         startedAt,
         use: [["e-1", tokens, 0]],
       });
-    network.deliver("a", news(2, 20));
-    network.deliver("a", news(1, 10));
+    network.deliver("a", usageDatagram(2, 20));
+    network.deliver("a", usageDatagram(1, 10));
     expect(uses[0]?.byOthers("e-1").held).toBe(20);
-    network.deliver("a", news(1, 30, 6));
+    network.deliver("a", usageDatagram(1, 30, 6));
     expect(uses[0]?.byOthers("e-1").held).toBe(30);
-    network.deliver("a", news(9, 40, 5));
+    network.deliver("a", usageDatagram(9, 40, 5));
     expect(uses[0]?.byOthers("e-1").held).toBe(30);
   });
 
   it.each([
-    ["no JSON", Buffer.from([0xff, 0x00])],
+    ["invalid JSON", Buffer.from([0xff, 0x00])],
     ["another method", notification({}, "engines.other")],
-    ["a use below zero", notification({ from: "b", use: [["e-1", -1, 0]] })],
+    ["negative usage", notification({ from: "b", use: [["e-1", -1, 0]] })],
     [
-      "a use that is no number",
+      "non-numeric usage",
       notification({
         from: "b",
         sequence: 1,
@@ -151,7 +151,7 @@
         use: [["e-1", "x", 0]],
       }),
     ],
-  ])("changes nothing for %s", (_, datagram) => {
+  ])("ignores a datagram with %s", (_, datagram) => {
     const { network, uses } = start(["a"]);
     network.deliver("a", datagram);
     expect(uses[0]?.byOthers("e-1").held).toBe(0);
