--- a/packages/gateway/src/forwarding/retry_budget.ts
+++ b/packages/gateway/src/forwarding/retry_budget.ts
@@ -19,7 +19,7 @@
 interface WindowSlice {
   readonly index: number;
   requests: number;
-  repeats: number;
+  retries: number;
 }
 
 /**
@@ -47,7 +47,7 @@
     const index = Math.floor(performance.now() / sliceMs);
     const last = slices.at(-1);
     if (last?.index === index) return last;
-    const slice = { index, requests: 0, repeats: 0 };
+    const slice = { index, requests: 0, retries: 0 };
     slices.push(slice);
     return slice;
   }
@@ -59,12 +59,12 @@
     take(service) {
       const slices = recentSlicesOf(service);
       const requests = slices.reduce((sum, slice) => sum + slice.requests, 0);
-      const repeats = slices.reduce((sum, slice) => sum + slice.repeats, 0);
+      const retries = slices.reduce((sum, slice) => sum + slice.retries, 0);
       const fixedAllowance = settings.slack / Math.max(1, instanceCount());
       const allowed =
         USABLE_SHARE * (fixedAllowance + settings.ratio * requests);
-      if (repeats + 1 > allowed) return false;
-      currentSlice(slices).repeats += 1;
+      if (retries + 1 > allowed) return false;
+      currentSlice(slices).retries += 1;
       return true;
     },
   };
--- a/packages/gateway/src/streams/admission.ts
+++ b/packages/gateway/src/streams/admission.ts
@@ -48,7 +48,7 @@
    * Waits for a pipeline for the next run of the call and reserves it.
    * `hasBegun` tells whether the answer to the caller has begun.
    */
-  next(options: { readonly hasBegun: boolean }): Promise<AdmissionDecision>;
+  admit(options: { readonly hasBegun: boolean }): Promise<AdmissionDecision>;
 }
 
 /** Creates the admission of one call; its runs share the time to wait. */
@@ -76,7 +76,7 @@
     while (!call.signal.aborted && waitedMs < BEGUN_ANSWER_MAX_WAIT_MS) {
       const pipeline = router.choose({
         ...pipelineRequest,
-        mostLoad: MAX_LOAD,
+        maxLoad: MAX_LOAD,
       });
       if (pipeline) return pipeline;
       // Engines that this call avoided may have recovered.
@@ -92,22 +92,22 @@
     for (;;) {
       const pipeline = router.choose({
         ...pipelineRequest,
-        mostLoad: MAX_LOAD,
+        maxLoad: MAX_LOAD,
       });
       if (pipeline) return pipeline;
       if (call.signal.aborted || waitedMs >= maxWaitMs) return null;
       // Searched once: with hundreds of engines it takes milliseconds.
-      hasPipeline ||= router.hasRoom(pipelineRequest);
+      hasPipeline ||= router.hasPipeline(pipelineRequest);
       if (!hasPipeline) return null;
       await waitBeforeRetry(NEW_ANSWER_RETRY_MS);
     }
   }
 
   return {
-    async next({ hasBegun }) {
+    async admit({ hasBegun }) {
       const pipeline = await (hasBegun ? admitBegunAnswer() : admitNewAnswer());
       if (pipeline) return { kind: "admitted", pipeline };
-      const reason = router.hasRoom(pipelineRequest)
+      const reason = router.hasPipeline(pipelineRequest)
         ? "no_room"
         : "no_pipeline";
       log.warn(reason, {
--- a/packages/gateway/src/streams/admission_test.ts
+++ b/packages/gateway/src/streams/admission_test.ts
@@ -22,11 +22,11 @@
   const avoided = new Set(["e-1"]);
   const pipeline = { stages: [] } as unknown as ChosenPipeline;
   const router = {
-    choose: ({ mostLoad }: PipelineRequest) =>
-      engines === "free" || (engines === "full" && mostLoad === undefined)
+    choose: ({ maxLoad }: PipelineRequest) =>
+      engines === "free" || (engines === "full" && maxLoad === undefined)
         ? pipeline
         : null,
-    hasRoom: () => engines !== "missing",
+    hasPipeline: () => engines !== "missing",
     missingLayers: () => (engines === "missing" ? "0-4" : ""),
   } as unknown as PipelineRouter;
   const call = {
@@ -44,7 +44,7 @@
     stateChanges: [number, EngineState][] = [],
   ) {
     const startedAt = performance.now();
-    const outcome = admission.next({ hasBegun }).then((admitted) => ({
+    const outcome = admission.admit({ hasBegun }).then((admitted) => ({
       result: admitted.kind === "admitted" ? "admitted" : admitted.reason,
       afterMs: performance.now() - startedAt,
     }));
--- a/packages/gateway/src/streams/engine_usage.ts
+++ b/packages/gateway/src/streams/engine_usage.ts
@@ -21,36 +21,36 @@
 /** The load of one answer, counted at its stages until it is released. */
 export interface EngineReservation {
   /** Removes the answer's prompt from the unread ones; idempotent. */
-  begun(): void;
+  markPromptRead(): void;
   /** Removes the whole load; idempotent. */
   release(): void;
 }
 
 export interface EngineUsage {
   /** Counts an answer at its stages; `unreadStages` have to read its prompt. */
-  take(answer: {
+  reserve(answer: {
     readonly stages: readonly AddressedStage[];
     readonly tokens: number;
     readonly unreadTokens: number;
     readonly unreadStages: readonly AddressedStage[];
   }): EngineReservation;
   /** Load of this instance's answers, by engine. */
-  own(): LoadByEngine;
+  localLoads(): LoadByEngine;
   /** Tokens of all answers in progress of this instance. */
-  ownTokens(): number;
+  localTokens(): number;
   /** Replaces the loads that a peer reported before. */
-  told(instance: string, loads: LoadByEngine): void;
+  recordPeerLoads(instance: string, loads: LoadByEngine): void;
   /** Sum of the unexpired loads that peers reported for one engine. */
-  byOthers(engineId: string): EngineLoad;
+  peerLoadOf(engineId: string): EngineLoad;
   /** Loads that a peer reported; `null` without any or when they expired. */
-  toldBy(instance: string): LoadByEngine | null;
+  peerLoads(instance: string): LoadByEngine | null;
   /** Registers a callback for changes of this instance's loads. */
   onChanged(callback: () => void): void;
 }
 
 interface PeerLoads {
   readonly loads: LoadByEngine;
-  readonly at: number;
+  readonly receivedAt: number;
 }
 
 export const NO_LOAD: EngineLoad = { held: 0, unread: 0 };
@@ -77,12 +77,12 @@
     for (const callback of callbacks) callback();
   }
 
-  function isFresh({ at }: PeerLoads): boolean {
-    return performance.now() - at < PEER_LOADS_VALID_MS;
+  function isFresh({ receivedAt }: PeerLoads): boolean {
+    return performance.now() - receivedAt < PEER_LOADS_VALID_MS;
   }
 
   return {
-    take({ stages, tokens, unreadTokens, unreadStages }) {
+    reserve({ stages, tokens, unreadTokens, unreadStages }) {
       let isReserved = true;
       let isPromptUnread = true;
       localTokens += tokens;
@@ -96,7 +96,7 @@
       }
 
       return {
-        begun: markPromptRead,
+        markPromptRead,
         release() {
           if (!isReserved) return;
           isReserved = false;
@@ -106,12 +106,12 @@
         },
       };
     },
-    own: () => localLoads,
-    ownTokens: () => localTokens,
-    told(instance, loads) {
-      loadsByPeer.set(instance, { loads, at: performance.now() });
+    localLoads: () => localLoads,
+    localTokens: () => localTokens,
+    recordPeerLoads(instance, loads) {
+      loadsByPeer.set(instance, { loads, receivedAt: performance.now() });
     },
-    byOthers(engineId) {
+    peerLoadOf(engineId) {
       let held = 0;
       let unread = 0;
       for (const [instance, peer] of loadsByPeer) {
@@ -125,7 +125,7 @@
       }
       return { held, unread };
     },
-    toldBy(instance) {
+    peerLoads(instance) {
       const peer = loadsByPeer.get(instance);
       return peer && isFresh(peer) ? peer.loads : null;
     },
--- a/packages/gateway/src/streams/forward_stream.ts
+++ b/packages/gateway/src/streams/forward_stream.ts
@@ -44,7 +44,7 @@
 ): Promise<CallEnd> {
   const { budget, router } = parts;
   const progress: StreamProgress = {
-    begun: false,
+    hasBegun: false,
     lastEventId: call.facts.lastEventId,
     pace: createStreamPace(call.startedAt),
   };
@@ -56,7 +56,7 @@
   const size = estimateSize(call);
   const admission = createAdmission(call, router, { size, avoided });
   while (!call.signal.aborted) {
-    const admitted = await admission.next({ hasBegun: progress.begun });
+    const admitted = await admission.admit({ hasBegun: progress.hasBegun });
     if (admitted.kind === "refused") {
       if (attempts === 0)
         lastEnd = { kind: "not_run", detail: admitted.reason };
@@ -72,7 +72,7 @@
       pipeline,
       size,
       avoided,
-      mayGoElsewhere:
+      canResumeElsewhere:
         call.route.resumable && runs - lostRuns + 1 < call.route.maxAttempts,
       stop: new AbortController(),
     };
@@ -84,13 +84,13 @@
     }
     runs += 1;
     // Runs lost with their first engine don't count as the route's attempts.
-    if (lastEnd.kind === "broken" && lastEnd.firstEngineAway) lostRuns += 1;
+    if (lastEnd.kind === "broken" && lastEnd.isFirstEngineLost) lostRuns += 1;
     if (!call.route.resumable) break;
     if (runs - lostRuns >= call.route.maxAttempts || lostRuns > MAX_LOST_RUNS)
       break;
   }
   return endCall(call, {
-    last: lastEnd,
+    lastEnd,
     progress,
     attempts,
     runs,
@@ -111,18 +111,18 @@
 function endCall(
   call: CallerCall,
   state: {
-    readonly last: RunEnd;
+    readonly lastEnd: RunEnd;
     readonly progress: StreamProgress;
     readonly attempts: number;
     readonly runs: number;
     readonly codec: RequestCodec;
   },
 ): CallEnd {
-  const { last, progress, attempts, runs, codec } = state;
+  const { lastEnd, progress, attempts, runs, codec } = state;
   const pace = progress.pace.summary();
   const firstByteMs = pace.firstMs;
-  if (last.kind === "complete") {
-    const { status } = last;
+  if (lastEnd.kind === "complete") {
+    const { status } = lastEnd;
     const outcome = "answered";
     return { status, outcome, reason: outcome, attempts, firstByteMs, pace };
   }
@@ -130,26 +130,26 @@
     const reason = "caller_left";
     return { status: 0, outcome: reason, reason, attempts, firstByteMs, pace };
   }
-  if (progress.begun) {
+  if (progress.hasBegun) {
     // Destroyed, so that the partial answer doesn't look complete.
     call.response.destroy();
-    const reason = last.kind === "failed" ? "failed_midway" : last.detail;
+    const reason = lastEnd.kind === "failed" ? "failed_midway" : lastEnd.detail;
     return { status: 0, outcome: "cut", reason, attempts, firstByteMs, pace };
   }
-  if (last.kind === "failed") {
-    const { status } = last.answer;
-    beginAnswer(codec, call.response, last.answer);
-    call.response.end(last.body);
+  if (lastEnd.kind === "failed") {
+    const { status } = lastEnd.answer;
+    beginAnswer(codec, call.response, lastEnd.answer);
+    call.response.end(lastEnd.body);
     const reason = `status_${status}`;
     return { status, outcome: "answered", reason, attempts, firstByteMs, pace };
   }
   const outcome = runs > 0 ? "unknown" : "not_run";
   return endWithRefusal(codec, call, {
     outcome,
-    reason: last.detail,
+    reason: lastEnd.detail,
     attempts,
     retryAfterSeconds: drawReturn(
-      last.detail === "no_room"
+      lastEnd.detail === "no_room"
         ? RETRY_WHEN_FULL_SECONDS
         : RETRY_AFTER_LOSS_SECONDS,
     ),
--- a/packages/gateway/src/streams/pipeline_router.ts
+++ b/packages/gateway/src/streams/pipeline_router.ts
@@ -36,7 +36,7 @@
    * Upper bound on the used share of each engine's memory, this answer
    * included; unlimited if left out.
    */
-  readonly mostLoad?: number;
+  readonly maxLoad?: number;
 }
 
 /** A pipeline whose load is counted until it is released. */
@@ -53,7 +53,7 @@
    */
   choose(request: PipelineRequest): ChosenPipeline | null;
   /** Whether `choose` would find a pipeline; reserves nothing. */
-  hasRoom(request: PipelineRequest): boolean;
+  hasPipeline(request: PipelineRequest): boolean;
   /**
    * Reserves a copy of the pipeline with other engines in place of one stage;
    * the caller releases the old one. `null` when no other permitted engine
@@ -135,8 +135,8 @@
     layers: number,
     domainUsage: DomainUsage,
   ): EngineLoad {
-    const localLoad = use.own().get(id) ?? NO_LOAD;
-    const peerLoad = use.byOthers(id);
+    const localLoad = use.localLoads().get(id) ?? NO_LOAD;
+    const peerLoad = use.peerLoadOf(id);
     const held =
       localLoad.held +
       peerLoad.held +
@@ -147,14 +147,17 @@
   function estimateUnreportedHeld(
     id: string,
     layers: number,
-    { silent, known }: DomainUsage,
+    { unreportedCount, sampledLoads }: DomainUsage,
   ): number {
-    if (silent === 0) return 0;
+    if (unreportedCount === 0) return 0;
     // Without any report from that domain, each of its instances is assumed to
     // have as many tokens on this engine as this instance has in total.
-    if (known.length === 0) return silent * use.ownTokens() * layers;
-    const heldByReporting = known.map((loads) => loads.get(id)?.held ?? 0);
-    return silent * (sum(heldByReporting) / known.length);
+    if (sampledLoads.length === 0)
+      return unreportedCount * use.localTokens() * layers;
+    const heldByReporting = sampledLoads.map(
+      (loads) => loads.get(id)?.held ?? 0,
+    );
+    return unreportedCount * (sum(heldByReporting) / sampledLoads.length);
   }
 
   /** Caches the usage of each failure domain during one search. */
@@ -165,12 +168,12 @@
       if (cached) return cached;
       const instances = othersIn(domain);
       const reportedLoads = instances.flatMap(
-        (instance) => use.toldBy(instance) ?? [],
+        (instance) => use.peerLoads(instance) ?? [],
       );
-      const localLoads = domain === failureDomain ? [use.own()] : [];
+      const localLoads = domain === failureDomain ? [use.localLoads()] : [];
       const domainUsage = {
-        silent: instances.length - reportedLoads.length,
-        known: [...reportedLoads, ...localLoads],
+        unreportedCount: instances.length - reportedLoads.length,
+        sampledLoads: [...reportedLoads, ...localLoads],
       };
       usageByDomain.set(domain, domainUsage);
       return domainUsage;
@@ -184,14 +187,14 @@
       readonly onlyDomain?: string | undefined;
     } = {},
   ): AddressedStage[] | null {
-    const { service, avoided, mostLoad } = request;
+    const { service, avoided, maxLoad } = request;
     const { engine } = service;
     if (!engine) return null;
     const { range, onlyDomain } = constraints;
     const usable = listCandidates(service, engine, avoided).filter(
       (candidate) =>
         (onlyDomain === undefined || candidate.failureDomain === onlyDomain) &&
-        (mostLoad === undefined || hasRoomFor(candidate, request, engine)),
+        (maxLoad === undefined || hasRoomFor(candidate, request, engine)),
     );
     const found = findPipeline(usable, {
       model: engine.model,
@@ -203,11 +206,11 @@
 
   function hasRoomFor(
     { memoryMb, held, load }: StageCandidate,
-    { size, mostLoad = 1 }: PipelineRequest,
+    { size, maxLoad = 1 }: PipelineRequest,
     { model }: EngineShape,
   ): boolean {
     const room = roomTokens(model, { memoryMb, layers: layersIn(held) });
-    return load + totalTokens(size) / Math.max(1, room) <= mostLoad;
+    return load + totalTokens(size) / Math.max(1, room) <= maxLoad;
   }
 
   /** Adds the engines' addresses; `null` if one was removed meanwhile. */
@@ -227,7 +230,7 @@
     const first = fleet.get(stages[0]?.engineId ?? "");
     if (!first) return null;
     const { size } = request;
-    const reservation = use.take({
+    const reservation = use.reserve({
       stages,
       tokens: totalTokens(size),
       unreadTokens: size.promptTokens,
@@ -241,7 +244,7 @@
       const stages = findStages(request);
       return stages ? reserve(stages, request, stages) : null;
     },
-    hasRoom: (request) => findStages(request) !== null,
+    hasPipeline: (request) => findStages(request) !== null,
     replaceStage({ stages }, request) {
       const lostIndex = stages.findIndex(
         ({ address }) => address === request.address,
@@ -280,9 +283,9 @@
 /** Reports of the instances in one failure domain. */
 interface DomainUsage {
   /** Number of other instances without a current report. */
-  readonly silent: number;
-  /** Loads of those with one, and of this instance if it is in the domain. */
-  readonly known: readonly LoadByEngine[];
+  readonly unreportedCount: number;
+  /** Current reports, and the local loads if this is the local domain. */
+  readonly sampledLoads: readonly LoadByEngine[];
 }
 
 /** Tokens that an answer holds in memory once it is complete. */
--- a/packages/gateway/src/streams/stage_recovery.ts
+++ b/packages/gateway/src/streams/stage_recovery.ts
@@ -39,7 +39,7 @@
   /** Ids of engines that the call avoids; lost engines are added. */
   readonly avoided: Set<string>;
   /** Whether the call may be resumed by another run if this one is stopped. */
-  readonly mayGoElsewhere: boolean;
+  readonly canResumeElsewhere: boolean;
   readonly stop: AbortController;
 }
 
@@ -53,7 +53,7 @@
   /** Starts to recover from a stall, unless a recovery is in progress. */
   onStall(stall: Stall): void;
   /** Reports an event of the answer, which cancels a recovery in progress. */
-  heard(): void;
+  onEvent(): void;
   /** Why the run was given up; `null` if it was not. */
   cause(): RecoveryCause | null;
   end(): void;
@@ -63,11 +63,17 @@
 
 type ReplacementResult = "moved" | "full" | "failed";
 
-/** Creates the recovery of one run; `onMoved` is called after each change. */
+/**
+ * Creates the recovery of one run; `onPipelineChanged` is called after each
+ * change of its pipeline.
+ */
 export function createStageRecovery(
   call: CallerCall,
   run: StreamRun,
-  options: { readonly parts: RecoveryParts; readonly onMoved: () => void },
+  options: {
+    readonly parts: RecoveryParts;
+    readonly onPipelineChanged: () => void;
+  },
 ): StageRecovery {
   const { router, engines, fleet } = options.parts;
   let cause: RecoveryCause | null = null;
@@ -114,7 +120,7 @@
     while (isRecoveryNeeded()) {
       if (await replace(address, true)) return true;
       if (!isRecoveryNeeded()) return false;
-      if (run.mayGoElsewhere && hasRoomElsewhere()) return false;
+      if (run.canResumeElsewhere && hasRoomElsewhere()) return false;
       if (performance.now() > deadlineAt) break;
       await pause(REPLACEMENT_RETRY_MS, call.signal);
     }
@@ -124,8 +130,8 @@
   function hasRoomElsewhere(): boolean {
     const { service } = call;
     const { size, avoided } = run;
-    const mostLoad = MAX_LOAD_ELSEWHERE;
-    return router.hasRoom({ service, size, avoided, mostLoad });
+    const maxLoad = MAX_LOAD_ELSEWHERE;
+    return router.hasPipeline({ service, size, avoided, maxLoad });
   }
 
   /**
@@ -144,7 +150,7 @@
       const result = await tryReplacement({
         address,
         sameDomain,
-        full: fullEngines,
+        fullEngines,
       });
       if (result !== "full") return result === "moved";
     }
@@ -154,14 +160,14 @@
   async function tryReplacement(change: {
     readonly address: string;
     readonly sameDomain: boolean;
-    readonly full: Set<string>;
+    readonly fullEngines: Set<string>;
   }): Promise<ReplacementResult> {
-    const { address, sameDomain, full } = change;
+    const { address, sameDomain, fullEngines } = change;
     const currentPipeline = run.pipeline;
     const nextPipeline = router.replaceStage(currentPipeline, {
       service: call.service,
       size: run.size,
-      avoided: new Set([...run.avoided, ...full]),
+      avoided: new Set([...run.avoided, ...fullEngines]),
       address,
       sameDomain,
     });
@@ -182,7 +188,7 @@
       currentPipeline.release();
       run.pipeline = nextPipeline;
       changeCount += 1;
-      options.onMoved();
+      options.onPipelineChanged();
       return "moved";
     }
     nextPipeline.release();
@@ -193,7 +199,7 @@
     const isReplacementStage =
       refusingStage && !currentPipeline.stages.includes(refusingStage);
     if (!isReplacementStage) return "failed";
-    full.add(refusingStage.engineId);
+    fullEngines.add(refusingStage.engineId);
     fleet.detector.refused(refusingStage.engineId);
     return "full";
   }
@@ -212,7 +218,7 @@
         recovering = null;
       });
     },
-    heard: () => recovering?.abort(),
+    onEvent: () => recovering?.abort(),
     cause: () => cause,
     end() {
       hasEnded = true;
--- a/packages/gateway/src/streams/stage_recovery_test.ts
+++ b/packages/gateway/src/streams/stage_recovery_test.ts
@@ -24,7 +24,7 @@
 
 function pipeline(...stages: AddressedStage[]): ChosenPipeline {
   const first = { id: "first", address: "first:1" };
-  const reservation = { begun: vi.fn(), release: vi.fn() };
+  const reservation = { markPromptRead: vi.fn(), release: vi.fn() };
   return { stages, first, ...reservation } as unknown as ChosenPipeline;
 }
 
@@ -32,17 +32,17 @@
   /** Responses to pipeline changes, in order. */
   readonly answers?: readonly MoveAnswer[];
   /** Engines in the lost engine's domain that hold its layers. */
-  readonly near?: () => readonly string[];
+  readonly sameDomainEngines?: () => readonly string[];
   /** Engines in other domains that hold its layers. */
-  readonly far?: readonly string[];
+  readonly otherDomainEngines?: readonly string[];
   readonly hasRoomElsewhere?: boolean;
 }
 
 /** Sets up a run whose second stage is dead. */
 function setUp({
   answers = [],
-  near = () => ["s1", "s2", "s3", "s4"],
-  far = [],
+  sameDomainEngines = () => ["s1", "s2", "s3", "s4"],
+  otherDomainEngines = [],
   hasRoomElsewhere = false,
 }: RecoveryScenario = {}) {
   const keptStage = stage("first", 0, 4);
@@ -50,7 +50,7 @@
     pipeline: pipeline(keptStage, stage("dead", 4, 8)),
     size: { promptTokens: 80, answerTokens: 20 },
     avoided: new Set<string>(),
-    mayGoElsewhere: true,
+    canResumeElsewhere: true,
     stop: new AbortController(),
   };
   const requestedEngines: string[] = [];
@@ -58,7 +58,7 @@
   const remainingAnswers = [...answers];
   const parts = {
     router: {
-      hasRoom: () => hasRoomElsewhere,
+      hasPipeline: () => hasRoomElsewhere,
       replaceStage(
         _last: ChosenPipeline,
         request: {
@@ -66,7 +66,9 @@
           readonly sameDomain: boolean;
         },
       ) {
-        const choices = request.sameDomain ? near() : [...near(), ...far];
+        const choices = request.sameDomain
+          ? sameDomainEngines()
+          : [...sameDomainEngines(), ...otherDomainEngines];
         const spareEngine = choices.find((id) => !request.avoided.has(id));
         return spareEngine
           ? pipeline(keptStage, stage(spareEngine, 4, 8))
@@ -90,10 +92,17 @@
     route: { resumable: true },
     signal: new AbortController().signal,
   } as CallerCall;
-  const onMoved = vi.fn();
-  const recovery = createStageRecovery(call, run, { parts, onMoved });
+  const onPipelineChanged = vi.fn();
+  const recovery = createStageRecovery(call, run, { parts, onPipelineChanged });
   const settle = (ms = 0) => vi.advanceTimersByTimeAsync(ms);
-  return { run, asked: requestedEngines, refused, recovery, onMoved, settle };
+  return {
+    run,
+    requestedEngines,
+    refused,
+    recovery,
+    onPipelineChanged,
+    settle,
+  };
 }
 
 const full = (id: string): MoveAnswer => ({
@@ -103,72 +112,79 @@
 
 describe("recovery of a lost stage", () => {
   it("tries the next engine when the first one is full", async () => {
-    const { run, asked, refused, recovery, onMoved, settle } = setUp({
+    const {
+      run,
+      requestedEngines,
+      refused,
+      recovery,
+      onPipelineChanged,
+      settle,
+    } = setUp({
       answers: [full("s1"), { kind: "moved" }],
     });
     recovery.onStall(STAGE_LOST);
     await settle();
-    expect(asked).toEqual(["s1", "s2"]);
+    expect(requestedEngines).toEqual(["s1", "s2"]);
     expect(refused).toEqual(["s1"]);
     expect(run.pipeline.stages.at(-1)?.engineId).toBe("s2");
-    expect(onMoved).toHaveBeenCalledOnce();
+    expect(onPipelineChanged).toHaveBeenCalledOnce();
     expect(run.stop.signal.aborted).toBe(false);
   });
 
   it("stops the run after three engines without room", async () => {
-    const { run, asked, recovery, settle } = setUp({
+    const { run, requestedEngines, recovery, settle } = setUp({
       answers: [full("s1"), full("s2"), full("s3")],
       hasRoomElsewhere: true,
     });
     recovery.onStall(STAGE_LOST);
     await settle();
-    expect(asked).toEqual(["s1", "s2", "s3"]);
+    expect(requestedEngines).toEqual(["s1", "s2", "s3"]);
     expect(run.stop.signal.aborted).toBe(true);
     expect(recovery.cause()).toBe("stage_away");
   });
 
   it("stops the run when a remaining stage has no room", async () => {
-    const { run, asked, recovery, settle } = setUp({
+    const { run, requestedEngines, recovery, settle } = setUp({
       answers: [full("first")],
       hasRoomElsewhere: true,
     });
     recovery.onStall(STAGE_LOST);
     await settle();
-    expect(asked).toEqual(["s1"]);
+    expect(requestedEngines).toEqual(["s1"]);
     expect(run.stop.signal.aborted).toBe(true);
   });
 
   it("waits while an engine of the same domain loads the layers", async () => {
     let loaded: readonly string[] = [];
-    const { run, asked, recovery, settle } = setUp({
-      near: () => loaded,
-      far: ["f1"],
+    const { run, requestedEngines, recovery, settle } = setUp({
+      sameDomainEngines: () => loaded,
+      otherDomainEngines: ["f1"],
     });
     recovery.onStall(STAGE_LOST);
     await settle(900);
-    expect(asked).toEqual([]);
+    expect(requestedEngines).toEqual([]);
     loaded = ["s1"];
     await settle(50);
-    expect(asked).toEqual(["s1"]);
+    expect(requestedEngines).toEqual(["s1"]);
     expect(run.stop.signal.aborted).toBe(false);
   });
 
   it("uses another domain before the caller gives up", async () => {
-    const { run, asked, recovery, settle } = setUp({
-      near: () => [],
-      far: ["f1"],
+    const { run, requestedEngines, recovery, settle } = setUp({
+      sameDomainEngines: () => [],
+      otherDomainEngines: ["f1"],
     });
     recovery.onStall(STAGE_LOST);
     await settle(1_400);
-    expect(asked).toEqual([]);
+    expect(requestedEngines).toEqual([]);
     await settle(200);
-    expect(asked).toEqual(["f1"]);
+    expect(requestedEngines).toEqual(["f1"]);
     expect(run.stop.signal.aborted).toBe(false);
   });
 
   it("stops the run at once when another pipeline has room", async () => {
     const { run, recovery, settle } = setUp({
-      near: () => [],
+      sameDomainEngines: () => [],
       hasRoomElsewhere: true,
     });
     recovery.onStall(STAGE_LOST);
@@ -178,12 +194,14 @@
   });
 
   it("stops when an event of the answer arrives", async () => {
-    const { run, asked, recovery, settle } = setUp({ near: () => [] });
+    const { run, requestedEngines, recovery, settle } = setUp({
+      sameDomainEngines: () => [],
+    });
     recovery.onStall(STAGE_LOST);
     await settle(500);
-    recovery.heard();
+    recovery.onEvent();
     await settle(5_000);
-    expect(asked).toEqual([]);
+    expect(requestedEngines).toEqual([]);
     expect(run.stop.signal.aborted).toBe(false);
   });
 });
--- a/packages/gateway/src/streams/stall_detector.ts
+++ b/packages/gateway/src/streams/stall_detector.ts
@@ -72,9 +72,9 @@
 
 export interface AnswerFollower {
   /** Reports an event of the answer. */
-  heard(): void;
+  onEvent(): void;
   /** Reports that the answer's pipeline was changed. */
-  moved(): void;
+  onPipelineChanged(): void;
   end(): void;
 }
 
@@ -95,17 +95,17 @@
 interface PipelineGroup {
   readonly key: string;
   readonly members: Set<AnswerState>;
-  heardAt: number;
+  lastEventAt: number;
   events: number;
   longestGapMs: number;
-  checking: boolean;
+  isChecking: boolean;
   recheckMs: number;
   nextCheckAt: number;
 }
 
 /** A requested report, shared by pipelines with the same engine. */
 interface CachedReport {
-  readonly at: number;
+  readonly requestedAt: number;
   readonly report: Promise<EngineReport | null>;
 }
 
@@ -139,10 +139,10 @@
     const group: PipelineGroup = {
       key,
       members: new Set(),
-      heardAt: performance.now(),
+      lastEventAt: performance.now(),
       events: 0,
       longestGapMs: 0,
-      checking: false,
+      isChecking: false,
       recheckMs: MIN_RECHECK_MS,
       nextCheckAt: 0,
     };
@@ -169,8 +169,8 @@
   function recordEvent(answerState: AnswerState): void {
     const now = performance.now();
     const { group } = answerState;
-    const gapMs = now - group.heardAt;
-    group.heardAt = now;
+    const gapMs = now - group.lastEventAt;
+    group.lastEventAt = now;
     group.events += 1;
     if (answerState.hasBegun) recordGap(group, gapMs);
     answerState.hasBegun = true;
@@ -190,7 +190,7 @@
       return scheduleTick(MIN_TICK_MS);
     }
     for (const group of [...groups.values()]) {
-      if (!group.checking && now >= group.nextCheckAt) checkIfDue(group, now);
+      if (!group.isChecking && now >= group.nextCheckAt) checkIfDue(group, now);
     }
     // Checks may have ended the last answer, or have scheduled a tick.
     if (groups.size === 0 || tickTimer) return;
@@ -204,14 +204,15 @@
     const answersDueAt = Math.min(...members.map(({ dueAt }) => dueAt));
     const hasBegun = members.some((member) => member.hasBegun);
     const silentAt =
-      group.heardAt + (hasBegun ? silenceLimitMs(group) : Infinity);
+      group.lastEventAt + (hasBegun ? silenceLimitMs(group) : Infinity);
     return Math.max(group.nextCheckAt, Math.min(answersDueAt, silentAt));
   }
 
   function checkIfDue(group: PipelineGroup, now: number): void {
     const begunAnswers = [...group.members].filter(({ hasBegun }) => hasBegun);
     const isSilent =
-      begunAnswers.length > 0 && now - group.heardAt >= silenceLimitMs(group);
+      begunAnswers.length > 0 &&
+      now - group.lastEventAt >= silenceLimitMs(group);
     const isFirstDue = [...group.members].some(
       ({ hasBegun, dueAt }) => !hasBegun && now >= dueAt,
     );
@@ -233,7 +234,7 @@
     const checkStartedAt = performance.now();
     const idleMs = checkStartedAt - group.nextCheckAt;
     if (idleMs > RECHECK_RESET_MS) group.recheckMs = MIN_RECHECK_MS;
-    group.checking = true;
+    group.isChecking = true;
     const probed = await Promise.all(
       (probeAll ? stages : stages.slice(0, 1)).map(
         async ({ engineId, address }) => {
@@ -245,12 +246,12 @@
         },
       ),
     );
-    group.checking = false;
+    group.isChecking = false;
     group.nextCheckAt = performance.now() + group.recheckMs;
     group.recheckMs = Math.min(MAX_RECHECK_MS, group.recheckMs * 2);
     const wasProcessStalled =
       processStalledAt >= checkStartedAt || isTickOverdue();
-    const hasProgressed = group.heardAt > checkStartedAt;
+    const hasProgressed = group.lastEventAt > checkStartedAt;
     const hasMissingReport = probed.some(({ report }) => !report);
     if (wasProcessStalled || (hasProgressed && (probeAll || hasMissingReport)))
       return;
@@ -275,7 +276,7 @@
         first: probed[0]?.engineId,
         lost: lost.map(({ engineId }) => engineId).join(","),
         answers: group.members.size,
-        silent_ms: (performance.now() - group.heardAt).toFixed(0),
+        silent_ms: (performance.now() - group.lastEventAt).toFixed(0),
       });
     }
     const firstReport = probed[0]?.report;
@@ -318,9 +319,10 @@
   ): Promise<EngineReport | null> {
     const now = performance.now();
     const cached = cachedReports.get(id);
-    if (cached && now - cached.at < REPORT_CACHE_MS) return cached.report;
+    if (cached && now - cached.requestedAt < REPORT_CACHE_MS)
+      return cached.report;
     const report = engines.report(address, PROBE_TIMEOUT_MS);
-    cachedReports.set(id, { at: now, report });
+    cachedReports.set(id, { requestedAt: now, report });
     return report.then((received) => {
       if (received) fleet.putReport(id, received);
       return received;
@@ -337,8 +339,8 @@
       };
       joinGroup(answerState, FIRST_EVENT_TIMEOUT_MS);
       return {
-        heard: () => recordEvent(answerState),
-        moved() {
+        onEvent: () => recordEvent(answerState),
+        onPipelineChanged() {
           leaveGroup(answerState);
           // A new stage has to read all tokens so far before the next event.
           answerState.hasBegun = false;
--- a/packages/gateway/src/streams/stall_detector_test.ts
+++ b/packages/gateway/src/streams/stall_detector_test.ts
@@ -69,15 +69,15 @@
     }
     const stepMs = EVENT_EVERY_MS / answers;
     for (let step = 0; step < forMs / stepMs; step += 1) {
-      followers[step % answers]?.heard();
+      followers[step % answers]?.onEvent();
       await vi.advanceTimersByTimeAsync(stepMs);
     }
   }
 
   return {
-    dead: deadEngines,
-    asked: probedEngines,
-    away: suspectedEngines,
+    deadEngines,
+    probedEngines,
+    suspectedEngines,
     stalls,
     followers,
     stream,
@@ -96,11 +96,12 @@
 
 describe("stall detection on a pipeline without events", () => {
   it("finds the unresponsive engine for all answers", async () => {
-    const { dead, stalls, away, stream, silence, end } = setUp();
+    const { deadEngines, stalls, suspectedEngines, stream, silence, end } =
+      setUp();
     await stream(10, 1_000);
-    dead.add("second");
+    deadEngines.add("second");
     await silence(200);
-    expect(away).toEqual(["second"]);
+    expect(suspectedEngines).toEqual(["second"]);
     expect(stalls.length).toBe(10);
     const kinds = new Set(stalls.map(([, stall]) => JSON.stringify(stall)));
     expect([...kinds]).toEqual(['{"kind":"stage","address":"second:1"}']);
@@ -108,53 +109,54 @@
   });
 
   it("probes no engine while events arrive regularly", async () => {
-    const { asked, stream, end } = setUp();
+    const { probedEngines, stream, end } = setUp();
     await stream(10, 3_000);
-    expect(asked).toEqual([]);
+    expect(probedEngines).toEqual([]);
     end();
   });
 
   it("reports no stall when all engines respond", async () => {
-    const { stalls, away, stream, silence, end } = setUp();
+    const { stalls, suspectedEngines, stream, silence, end } = setUp();
     await stream(10, 1_000);
     await silence(1_500);
     expect(stalls).toEqual([]);
-    expect(away).toEqual([]);
+    expect(suspectedEngines).toEqual([]);
     end();
   });
 
   // Guards against probing engines all the time once they become slow.
   it("backs off while engines are only slow", async () => {
-    const { asked, stalls, followers, stream, silence, end } = setUp();
+    const { probedEngines, stalls, followers, stream, silence, end } = setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 40; pause += 1) {
       await silence(500);
-      for (const follower of followers) follower.heard();
+      for (const follower of followers) follower.onEvent();
     }
     expect(stalls).toEqual([]);
-    expect(asked.length).toBeLessThan(100);
+    expect(probedEngines.length).toBeLessThan(100);
     end();
   });
 
   it("resets the backoff after a period of regular events", async () => {
-    const { dead, away, followers, stream, silence, end } = setUp();
+    const { deadEngines, suspectedEngines, followers, stream, silence, end } =
+      setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 10; pause += 1) {
       await silence(500);
-      for (const follower of followers) follower.heard();
+      for (const follower of followers) follower.onEvent();
     }
     await stream(10, 3_000);
-    dead.add("second");
+    deadEngines.add("second");
     await silence(200);
-    expect(away).toEqual(["second"]);
+    expect(suspectedEngines).toEqual(["second"]);
     end();
   });
 
   it("reports the first engine when it is lost with another", async () => {
-    const { dead, stalls, stream, silence, end } = setUp();
+    const { deadEngines, stalls, stream, silence, end } = setUp();
     await stream(4, 1_000);
-    dead.add("first");
-    dead.add("third");
+    deadEngines.add("first");
+    deadEngines.add("third");
     await silence(200);
     expect(stalls.map(([, { kind }]) => kind)).toEqual(
       new Array(4).fill("first_engine"),
@@ -163,26 +165,27 @@
   });
 
   it("reports no stall when events arrive during the check", async () => {
-    const { dead, stalls, away, stream, silence, end } = setUp();
+    const { deadEngines, stalls, suspectedEngines, stream, silence, end } =
+      setUp();
     await stream(10, 1_000);
-    dead.add("second");
+    deadEngines.add("second");
     await silence(120);
     await stream(10, 100);
     expect(stalls).toEqual([]);
-    expect(away).toEqual([]);
+    expect(suspectedEngines).toEqual([]);
     end();
   });
 
   it("reports no stall after this process was blocked", async () => {
-    const { dead, asked, stalls, stream, end } = setUp();
+    const { deadEngines, probedEngines, stalls, stream, end } = setUp();
     await stream(10, 1_000);
-    dead.add("second");
+    deadEngines.add("second");
     const now = performance.now.bind(performance);
     vi.spyOn(performance, "now").mockImplementation(() => now() + 3_000);
     await vi.advanceTimersToNextTimerAsync();
     // Events that arrived while the process was blocked are read now.
     await stream(10, 100);
-    expect(asked).not.toContain("second");
+    expect(probedEngines).not.toContain("second");
     expect(stalls).toEqual([]);
     vi.restoreAllMocks();
     end();
@@ -195,8 +198,8 @@
     await stream(3, 1_000);
     stallOf("r0", "third:1");
     for (let step = 0; step < 30; step += 1) {
-      followers[1]?.heard();
-      followers[2]?.heard();
+      followers[1]?.onEvent();
+      followers[2]?.onEvent();
       await silence(20);
     }
     expect(stalls[0]).toEqual(["r0", { kind: "stage", address: "third:1" }]);
@@ -205,14 +208,21 @@
   });
 
   it("ignores one report that arrives late", async () => {
-    const { slowReports, dead, stalls, followers, silence, stream, end } =
-      setUp();
+    const {
+      slowReports,
+      deadEngines,
+      stalls,
+      followers,
+      silence,
+      stream,
+      end,
+    } = setUp();
     await stream(3, 1_000);
     slowReports(1);
-    dead.add("first");
+    deadEngines.add("first");
     for (let step = 0; step < 30; step += 1) {
-      followers[1]?.heard();
-      followers[2]?.heard();
+      followers[1]?.onEvent();
+      followers[2]?.onEvent();
       await silence(20);
     }
     expect(stalls).toEqual([]);
@@ -221,11 +231,11 @@
 });
 
 it("stall detection probes all engines of an answer without events", async () => {
-  const { dead, stalls, asked, silence, stream, end } = setUp();
-  dead.add("third");
+  const { deadEngines, stalls, probedEngines, silence, stream, end } = setUp();
+  deadEngines.add("third");
   void stream(1, 0);
   await silence(400);
-  expect(new Set(asked)).toEqual(new Set(STAGES));
+  expect(new Set(probedEngines)).toEqual(new Set(STAGES));
   expect(stalls[0]).toEqual(["r0", { kind: "stage", address: "third:1" }]);
   end();
 });
--- a/packages/gateway/src/streams/stream_run.ts
+++ b/packages/gateway/src/streams/stream_run.ts
@@ -36,7 +36,7 @@
 
 /** The part of the answer that the caller has received so far. */
 export interface StreamProgress {
-  begun: boolean;
+  hasBegun: boolean;
   lastEventId: string | null;
   readonly pace: StreamPace;
 }
@@ -54,7 +54,7 @@
       readonly kind: "broken";
       readonly detail: string;
       /** Whether the engine that received the request stopped responding. */
-      readonly firstEngineAway: boolean;
+      readonly isFirstEngineLost: boolean;
     };
 
 /** Sends the call to the run's pipeline and forwards the events to the caller. */
@@ -75,7 +75,7 @@
   });
   const recovery = createStageRecovery(call, run, {
     parts,
-    onMoved: () => follower.moved(),
+    onPipelineChanged: () => follower.onPipelineChanged(),
   });
   const follower = parts.stalls.follow({
     requestId: call.id,
@@ -126,7 +126,7 @@
   return {
     kind: "broken",
     detail: cause ?? detail,
-    firstEngineAway: cause === "first_engine_away",
+    isFirstEngineLost: cause === "first_engine_away",
   };
 }
 
@@ -188,15 +188,15 @@
   const { run, progress, codec, follower, recovery } = options;
   const { response } = call;
   const splitter = createEventSplitter();
-  if (!progress.begun) {
-    progress.begun = true;
+  if (!progress.hasBegun) {
+    progress.hasBegun = true;
     beginAnswer(codec, response, answer);
     response.flushHeaders();
   }
   for await (const chunk of answer.body) {
-    run.pipeline.begun();
-    follower.heard();
-    recovery.heard();
+    run.pipeline.markPromptRead();
+    follower.onEvent();
+    recovery.onEvent();
     for (const event of splitter.push(chunk)) {
       if (event.id !== null && isRepeated(event.id, progress.lastEventId)) {
         continue;
--- a/packages/gateway/src/streams/usage_exchange.ts
+++ b/packages/gateway/src/streams/usage_exchange.ts
@@ -98,8 +98,8 @@
    * that the budget did not allow, or 0 when all were sent.
    */
   function sendToDuePeers(): number {
-    if (hasSignificantChange(use.own(), loadsAtLastChange)) {
-      loadsAtLastChange = new Map(use.own());
+    if (hasSignificantChange(use.localLoads(), loadsAtLastChange)) {
+      loadsAtLastChange = new Map(use.localLoads());
       lastChangeAt = performance.now();
     }
     const dueTargets = findDuePeers();
@@ -123,10 +123,13 @@
     return peers()
       .map((target) => {
         const key = formatAddress(target);
-        return { target, key, at: sentAtByAddress.get(key) ?? -Infinity };
+        return { target, key, sentAt: sentAtByAddress.get(key) ?? -Infinity };
       })
-      .filter(({ at }) => at < lastChangeAt || now - at >= MAX_SEND_INTERVAL_MS)
-      .sort((a, b) => a.at - b.at);
+      .filter(
+        ({ sentAt }) =>
+          sentAt < lastChangeAt || now - sentAt >= MAX_SEND_INTERVAL_MS,
+      )
+      .sort((a, b) => a.sentAt - b.sentAt);
   }
 
   function encode(): Buffer {
@@ -135,7 +138,7 @@
       from: instance,
       sequence,
       startedAt,
-      use: selectMostUsed(use.own()),
+      use: selectMostUsed(use.localLoads()),
     };
     return Buffer.from(
       JSON.stringify({ jsonrpc: "2.0", method: METHOD, params }),
@@ -145,12 +148,12 @@
   function receive(datagram: Uint8Array): void {
     const params = decode(datagram);
     if (!params) return logUnreadableDatagram(datagram.length);
-    if (params.from === instance || !sequenceFilter.isNewest(params)) return;
+    if (params.from === instance || !sequenceFilter.accept(params)) return;
     const loads = params.use.map(([id, held, unread]): [string, EngineLoad] => [
       id,
       { held, unread },
     ]);
-    use.told(params.from, new Map(loads));
+    use.recordPeerLoads(params.from, new Map(loads));
   }
 
   function logUnreadableDatagram(bytes: number): void {
@@ -202,7 +205,7 @@
 function createSequenceFilter() {
   const newestByInstance = new Map<string, UsageParams>();
   return {
-    isNewest(params: UsageParams): boolean {
+    accept(params: UsageParams): boolean {
       const newest = newestByInstance.get(params.from);
       const isOlder =
         newest !== undefined &&
--- a/packages/gateway/src/streams/usage_exchange_test.ts
+++ b/packages/gateway/src/streams/usage_exchange_test.ts
@@ -66,7 +66,12 @@
     address: "x",
     range: { from, to: from + 1 },
   }));
-  return use?.take({ stages, tokens, unreadTokens: 1, unreadStages: stages });
+  return use?.reserve({
+    stages,
+    tokens,
+    unreadTokens: 1,
+    unreadStages: stages,
+  });
 }
 
 function notification(params: unknown, method = "engines.use"): Buffer {
@@ -80,7 +85,7 @@
     takeAt(uses[0], ["e-1"], 1_000);
     takeAt(uses[1], ["e-1"], 100);
     await vi.advanceTimersByTimeAsync(50);
-    const held = uses.map((use) => use.byOthers("e-1").held);
+    const held = uses.map((use) => use.peerLoadOf("e-1").held);
     expect(held).toEqual([100, 1_000, 1_100]);
   });
 
@@ -90,7 +95,7 @@
     await vi.advanceTimersByTimeAsync(100);
     takeAt(uses[0], ["e-1"], 10);
     await vi.advanceTimersByTimeAsync(1_050);
-    expect(uses[1]?.byOthers("e-1")).toEqual({ held: 1_010, unread: 2 });
+    expect(uses[1]?.peerLoadOf("e-1")).toEqual({ held: 1_010, unread: 2 });
   });
 
   it("stays within its byte budget with many instances", async () => {
@@ -131,11 +136,11 @@
       });
     network.deliver("a", usageDatagram(2, 20));
     network.deliver("a", usageDatagram(1, 10));
-    expect(uses[0]?.byOthers("e-1").held).toBe(20);
+    expect(uses[0]?.peerLoadOf("e-1").held).toBe(20);
     network.deliver("a", usageDatagram(1, 30, 6));
-    expect(uses[0]?.byOthers("e-1").held).toBe(30);
+    expect(uses[0]?.peerLoadOf("e-1").held).toBe(30);
     network.deliver("a", usageDatagram(9, 40, 5));
-    expect(uses[0]?.byOthers("e-1").held).toBe(30);
+    expect(uses[0]?.peerLoadOf("e-1").held).toBe(30);
   });
 
   it.each([
@@ -154,6 +159,6 @@
   ])("ignores a datagram with %s", (_, datagram) => {
     const { network, uses } = start(["a"]);
     network.deliver("a", datagram);
-    expect(uses[0]?.byOthers("e-1").held).toBe(0);
+    expect(uses[0]?.peerLoadOf("e-1").held).toBe(0);
   });
 });
