--- a/packages/gateway/src/streams/admission.ts
+++ b/packages/gateway/src/streams/admission.ts
@@ -46,7 +46,7 @@
 export interface CallAdmission {
   /**
    * Waits for a pipeline for the next run of the call and reserves it.
-   * `hasBegun` tells whether the answer to the caller has begun.
+   * `hasBegun`: whether the answer to the caller has begun.
    */
   admit(options: { readonly hasBegun: boolean }): Promise<AdmissionDecision>;
 }
--- a/packages/gateway/src/streams/engine_usage_test.ts
+++ b/packages/gateway/src/streams/engine_usage_test.ts
@@ -17,53 +17,58 @@
 
 describe("engine usage", () => {
   it("counts an answer once at each stage until its release", () => {
-    const use = createEngineUse();
+    const usage = createEngineUse();
     const answer = { stages, tokens: 100, unreadTokens: 80 };
-    const taken = use.reserve({ ...answer, unreadStages: stages });
-    use.reserve({
+    const reservation = usage.reserve({ ...answer, unreadStages: stages });
+    usage.reserve({
       stages: stages.slice(0, 1),
       tokens: 50,
       unreadTokens: 0,
       unreadStages: [],
     });
-    expect([...use.localLoads()]).toEqual([
+    expect([...usage.localLoads()]).toEqual([
       ["e-1", { held: 1_500, unread: 800 }],
       ["e-2", { held: 2_000, unread: 1_600 }],
     ]);
-    taken.release();
-    taken.release();
-    expect([...use.localLoads()]).toEqual([["e-1", { held: 500, unread: 0 }]]);
-    expect(use.localTokens()).toBe(50);
+    reservation.release();
+    reservation.release();
+    expect([...usage.localLoads()]).toEqual([
+      ["e-1", { held: 500, unread: 0 }],
+    ]);
+    expect(usage.localTokens()).toBe(50);
   });
 
   it("counts a prompt once as unread until the answer begins", () => {
-    const use = createEngineUse();
+    const usage = createEngineUse();
     const answer = { stages, tokens: 100, unreadTokens: 80 };
-    const taken = use.reserve({ ...answer, unreadStages: stages.slice(1) });
-    taken.markPromptRead();
-    taken.markPromptRead();
-    expect([...use.localLoads()]).toEqual([
+    const reservation = usage.reserve({
+      ...answer,
+      unreadStages: stages.slice(1),
+    });
+    reservation.markPromptRead();
+    reservation.markPromptRead();
+    expect([...usage.localLoads()]).toEqual([
       ["e-1", { held: 1_000, unread: 0 }],
       ["e-2", { held: 2_000, unread: 0 }],
     ]);
-    taken.release();
-    expect([...use.localLoads()]).toEqual([]);
+    reservation.release();
+    expect([...usage.localLoads()]).toEqual([]);
   });
 
   it("sums the latest loads of each peer", () => {
-    const use = createEngineUse();
-    use.recordPeerLoads("b", new Map([["e-1", { held: 10, unread: 1 }]]));
-    use.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
-    use.recordPeerLoads("c", new Map([["e-1", { held: 5, unread: 3 }]]));
-    expect(use.peerLoadOf("e-1")).toEqual({ held: 35, unread: 5 });
-    expect(use.peerLoadOf("e-2")).toEqual({ held: 0, unread: 0 });
+    const usage = createEngineUse();
+    usage.recordPeerLoads("b", new Map([["e-1", { held: 10, unread: 1 }]]));
+    usage.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
+    usage.recordPeerLoads("c", new Map([["e-1", { held: 5, unread: 3 }]]));
+    expect(usage.peerLoadOf("e-1")).toEqual({ held: 35, unread: 5 });
+    expect(usage.peerLoadOf("e-2")).toEqual({ held: 0, unread: 0 });
   });
 
   it("drops the loads of a peer that stopped reporting", () => {
-    const use = createEngineUse();
-    use.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
+    const usage = createEngineUse();
+    usage.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
     vi.advanceTimersByTime(PEER_LOADS_VALID_MS);
-    expect(use.peerLoadOf("e-1")).toEqual({ held: 0, unread: 0 });
-    expect(use.peerLoads("b")).toBeNull();
+    expect(usage.peerLoadOf("e-1")).toEqual({ held: 0, unread: 0 });
+    expect(usage.peerLoads("b")).toBeNull();
   });
 });
--- a/packages/gateway/src/streams/usage_exchange_test.ts
+++ b/packages/gateway/src/streams/usage_exchange_test.ts
@@ -38,26 +38,26 @@
 
 function start(hosts: readonly string[]) {
   const network = createNetwork();
-  const uses = hosts.map((instance) => {
-    const use = createEngineUse();
+  const usages = hosts.map((instance) => {
+    const usage = createEngineUse();
     startUseExchange({
       transport: network.transport(instance),
       instance,
-      use,
+      use: usage,
       peers: () =>
         hosts
           .filter((host) => host !== instance)
           .map((host) => ({ host, port: 1 })),
       signal: END.signal,
     });
-    return use;
+    return usage;
   });
-  return { network, uses };
+  return { network, usages };
 }
 
 /** Counts an answer with `tokens` tokens at engines of one layer each. */
 function takeAt(
-  use: EngineUsage | undefined,
+  usage: EngineUsage | undefined,
   engineIds: readonly string[],
   tokens: number,
 ) {
@@ -66,7 +66,7 @@
     address: "x",
     range: { from, to: from + 1 },
   }));
-  return use?.reserve({
+  return usage?.reserve({
     stages,
     tokens,
     unreadTokens: 1,
@@ -80,30 +80,30 @@
 
 describe("usage exchange", () => {
   it("reports a burst to all peers within 50 ms", async () => {
-    const { uses } = start(["a", "b", "c"]);
+    const { usages } = start(["a", "b", "c"]);
     await vi.advanceTimersByTimeAsync(1_500);
-    takeAt(uses[0], ["e-1"], 1_000);
-    takeAt(uses[1], ["e-1"], 100);
+    takeAt(usages[0], ["e-1"], 1_000);
+    takeAt(usages[1], ["e-1"], 100);
     await vi.advanceTimersByTimeAsync(50);
-    const held = uses.map((use) => use.peerLoadOf("e-1").held);
+    const held = usages.map((usage) => usage.peerLoadOf("e-1").held);
     expect(held).toEqual([100, 1_000, 1_100]);
   });
 
   it("reports small changes within about one second", async () => {
-    const { uses } = start(["a", "b"]);
-    takeAt(uses[0], ["e-1"], 1_000);
+    const { usages } = start(["a", "b"]);
+    takeAt(usages[0], ["e-1"], 1_000);
     await vi.advanceTimersByTimeAsync(100);
-    takeAt(uses[0], ["e-1"], 10);
+    takeAt(usages[0], ["e-1"], 10);
     await vi.advanceTimersByTimeAsync(1_050);
-    expect(uses[1]?.peerLoadOf("e-1")).toEqual({ held: 1_010, unread: 2 });
+    expect(usages[1]?.peerLoadOf("e-1")).toEqual({ held: 1_010, unread: 2 });
   });
 
   it("stays within its byte budget with many instances", async () => {
     const hosts = Array.from({ length: 40 }, (_, index) => `i-${index}`);
-    const { network, uses } = start(hosts);
+    const { network, usages } = start(hosts);
     const engineIds = Array.from({ length: 60 }, (_, at) => `i-engine-${at}`);
     for (let second = 0; second < 60; second += 1) {
-      takeAt(uses[0], engineIds, 1_000 * (second + 1));
+      takeAt(usages[0], engineIds, 1_000 * (second + 1));
       await vi.advanceTimersByTimeAsync(1_000);
     }
     const perSecond = (network.sentBytes.get("i-0") ?? 0) / 60;
@@ -113,12 +113,12 @@
 
   it("wakes up no more often than its byte budget allows sending", async () => {
     const hosts = Array.from({ length: 40 }, (_, index) => `i-${index}`);
-    const { uses } = start(hosts);
+    const { usages } = start(hosts);
     const engineIds = Array.from({ length: 60 }, (_, at) => `i-engine-${at}`);
-    for (const use of uses) takeAt(use, engineIds, 1_000);
+    for (const usage of usages) takeAt(usage, engineIds, 1_000);
     await vi.advanceTimersByTimeAsync(5_000);
     const timers = vi.spyOn(globalThis, "setTimeout");
-    for (const use of uses) takeAt(use, engineIds, 100_000);
+    for (const usage of usages) takeAt(usage, engineIds, 100_000);
     await vi.advanceTimersByTimeAsync(10_000);
     const perSecond = timers.mock.calls.length / 10 / hosts.length;
     timers.mockRestore();
@@ -126,7 +126,7 @@
   });
 
   it("ignores datagrams that arrive out of order", () => {
-    const { network, uses } = start(["a"]);
+    const { network, usages } = start(["a"]);
     const usageDatagram = (sequence: number, tokens: number, startedAt = 5) =>
       notification({
         from: "b",
@@ -136,11 +136,11 @@
       });
     network.deliver("a", usageDatagram(2, 20));
     network.deliver("a", usageDatagram(1, 10));
-    expect(uses[0]?.peerLoadOf("e-1").held).toBe(20);
+    expect(usages[0]?.peerLoadOf("e-1").held).toBe(20);
     network.deliver("a", usageDatagram(1, 30, 6));
-    expect(uses[0]?.peerLoadOf("e-1").held).toBe(30);
+    expect(usages[0]?.peerLoadOf("e-1").held).toBe(30);
     network.deliver("a", usageDatagram(9, 40, 5));
-    expect(uses[0]?.peerLoadOf("e-1").held).toBe(30);
+    expect(usages[0]?.peerLoadOf("e-1").held).toBe(30);
   });
 
   it.each([
@@ -157,8 +157,8 @@
       }),
     ],
   ])("ignores a datagram with %s", (_, datagram) => {
-    const { network, uses } = start(["a"]);
+    const { network, usages } = start(["a"]);
     network.deliver("a", datagram);
-    expect(uses[0]?.peerLoadOf("e-1").held).toBe(0);
+    expect(usages[0]?.peerLoadOf("e-1").held).toBe(0);
   });
 });
