--- a/packages/gateway/src/backends/backend_exchange.ts
+++ b/packages/gateway/src/backends/backend_exchange.ts
@@ -1,29 +1,29 @@
-/** Sends one request to one backend server, once. */
+/** Sends requests to backend servers, without retries. */
 import { Agent, Client, type Dispatcher, errors } from "undici";
 import type { BackendServer } from "../backend_server.ts";
 import type { AnswerHeaders } from "../protocol.ts";
-import type { AwayReason } from "./failure_detector.ts";
+import type { SuspicionReason } from "./failure_detector.ts";
 import { createTimedConnector } from "./timed_connector.ts";
 
 /**
- * Bound on the time until a connection stands, in milliseconds. Links take
- * under a millisecond; a server that is cut off answers nothing, and 300 ms
- * leave time for another one within an objective of 500 ms.
+ * Connecting takes under a millisecond on a healthy link. A server that is cut
+ * off never responds, and 300 ms leave time to try another one within a latency
+ * objective of 500 ms.
  */
 const CONNECT_TIMEOUT_MS = 300;
-/** Unused connections are closed after this, unless servers say sooner. */
-const KEEP_IDLE_MS = 8_000;
+/** Idle connections are closed after this, or sooner if the server asks. */
+const IDLE_CONNECTION_TIMEOUT_MS = 8_000;
 
-/** A request as it goes out. */
+/** A request to a backend server. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly path: string;
-  /** Flat list of names and values. */
+  /** Alternating names and values. */
   readonly headers: string[];
   readonly body: Buffer | null;
 }
 
-/** An answer whose body is still to be read. */
+/** An answer whose headers have arrived and whose body is not read yet. */
 export interface OpenAnswer {
   readonly kind: "answer";
   readonly status: number;
@@ -35,14 +35,17 @@
 
 export type ExchangeResult =
   | OpenAnswer
-  /** No byte of the request left. */
+  /** No byte of the request was sent, so it did not run. */
   | { readonly kind: "not_sent"; readonly detail: string }
-  /** It was sent and may have run; no answer came. */
+  /** The request may have been sent and run; no answer arrived. */
   | { readonly kind: "broken"; readonly detail: string };
 
 export interface ExchangeOptions {
   readonly signal: AbortSignal;
-  /** Uses a connection of its own; see `sendFresh`. */
+  /**
+   * Opens a new connection, so that a failure to connect proves that the
+   * request did not run.
+   */
   readonly freshConnection: boolean;
 }
 
@@ -54,36 +57,36 @@
   ): Promise<ExchangeResult>;
 }
 
-/** Creates the sender; connections are kept for each server. */
+/** Creates an exchange with a connection pool for each server. */
 export function createBackendExchange(): BackendExchange {
   const connect = createTimedConnector(CONNECT_TIMEOUT_MS);
   const agent = new Agent({
     connect,
     pipelining: 1,
-    keepAliveTimeout: KEEP_IDLE_MS,
+    keepAliveTimeout: IDLE_CONNECTION_TIMEOUT_MS,
     headersTimeout: 0,
     bodyTimeout: 0,
   });
 
-  async function sendKept(
+  async function sendPooled(
     server: BackendServer,
     request: OutgoingRequest,
     signal: AbortSignal,
   ): Promise<ExchangeResult> {
     try {
-      return await open(agent, { server, request, signal });
+      return await sendRequest(agent, { server, request, signal });
     } catch (error) {
-      return judge(error, { connected: undefined });
+      return classifyError(error, { connected: undefined });
     }
   }
 
   /**
-   * A kept connection that its server closes in the same moment resets the
-   * request before any answer: nothing ran, yet it must count as one that may
-   * have run. On a connection of its own, all that fails before it stands is
-   * certain not to have run.
+   * If a server closes a pooled connection while a request is being sent, the
+   * request fails without an answer and counts as one that may have run. On a
+   * new connection, any failure before it is established proves that the
+   * request did not run.
    */
-  async function sendFresh(
+  async function sendOnNewConnection(
     server: BackendServer,
     request: OutgoingRequest,
     signal: AbortSignal,
@@ -101,24 +104,24 @@
       },
     });
     try {
-      const answer = await open(client, { server, request, signal });
-      return { ...answer, body: closeAfter(answer.body, client) };
+      const answer = await sendRequest(client, { server, request, signal });
+      return { ...answer, body: closeClientAfter(answer.body, client) };
     } catch (error) {
       void client.destroy();
-      return judge(error, { connected });
+      return classifyError(error, { connected });
     }
   }
 
   return {
     send(server, request, { signal, freshConnection }) {
       return freshConnection
-        ? sendFresh(server, request, signal)
-        : sendKept(server, request, signal);
+        ? sendOnNewConnection(server, request, signal)
+        : sendPooled(server, request, signal);
     },
   };
 }
 
-async function open(
+async function sendRequest(
   dispatcher: Dispatcher,
   options: {
     readonly server: BackendServer;
@@ -141,15 +144,15 @@
     headers: response.headers,
     body: response.body,
     abandon() {
-      // Its error says that we gave it up; without a listener it would end
-      // the process, and with it every other answer in progress.
+      // Destroying the body emits an error. Without a listener, that error
+      // would end the process and all other answers in progress.
       response.body.once("error", () => {});
       response.body.destroy();
     },
   };
 }
 
-async function* closeAfter(
+async function* closeClientAfter(
   body: AsyncIterable<Buffer>,
   client: Client,
 ): AsyncIterable<Buffer> {
@@ -160,12 +163,12 @@
   }
 }
 
-function judge(
+function classifyError(
   error: unknown,
   { connected }: { readonly connected: boolean | undefined },
 ): ExchangeResult {
   const detail = error instanceof Error ? error.message : String(error);
-  const code = codeOf(error);
+  const code = errorCodeOf(error);
   const isConnectFailure =
     error instanceof errors.ConnectTimeoutError || CONNECT_FAILURES.has(code);
   if (connected === false || (connected === undefined && isConnectFailure)) {
@@ -174,19 +177,19 @@
   return { kind: "broken", detail: code || detail };
 }
 
-function codeOf(error: unknown): string {
+function errorCodeOf(error: unknown): string {
   const { name, code } = error as { name?: string; code?: unknown };
-  const isGivenUp = name === "AbortError" || name === "TimeoutError";
-  if (isGivenUp) return "given_up";
+  const isAbort = name === "AbortError" || name === "TimeoutError";
+  if (isAbort) return "given_up";
   return typeof code === "string" ? code : "";
 }
 
-/** What a connection that did not come about says of its server. */
-export function awayReason(detail: string): AwayReason {
+/** Returns why a server is suspected after a failure to connect. */
+export function awayReason(detail: string): SuspicionReason {
   return detail === "ECONNREFUSED" ? "ended" : "silent";
 }
 
-/** Codes that only the making of a connection brings. */
+/** Error codes that occur only while a connection is being established. */
 const CONNECT_FAILURES = new Set([
   "ECONNREFUSED",
   "EHOSTUNREACH",
--- a/packages/gateway/src/backends/backend_fleet.ts
+++ b/packages/gateway/src/backends/backend_fleet.ts
@@ -1,4 +1,4 @@
-/** The backend servers that an instance knows, and what it sent to them. */
+/** Current state of all backend servers, from the list and from reports. */
 import { isDeepStrictEqual } from "node:util";
 import type { LayerRange } from "@rosemarypin/pipelines";
 import { createLogger } from "@rosemarypin/telemetry";
@@ -11,18 +11,18 @@
 } from "./failure_detector.ts";
 
 /**
- * How far an entry may lag behind the server it tells of: it is written every
- * 1.2 s, and its way through the store takes up to 0.8 s.
+ * Maximum lag of a list entry behind the state of its server: entries are
+ * written every 1.2 s and take up to 0.8 s to pass through the store.
  */
 const ENTRY_LAG_MS = 2_000;
 
 /**
- * For how long a reported load is believed: a part of the time of an answer,
- * so that most of what was reported is still in progress.
+ * Time for which a reported load is valid. It is shorter than an answer, so
+ * that most of the reported answers are still in progress.
  */
-const LOAD_HOLDS_MS = 1_000;
+const LOAD_REPORT_TTL_MS = 1_000;
 
-/** Bound on a probe; engines in reach answer in a few milliseconds. */
+/** Reachable engines answer a probe within a few milliseconds. */
 const PROBE_TIMEOUT_MS = 300;
 
 const log = createLogger("backends");
@@ -31,40 +31,44 @@
   readonly detector: FailureDetector;
   get(id: string): BackendServer | null;
   byAddress(address: string): BackendServer | null;
-  /** Servers of a service, those that are leaving or suspected too. */
+  /** All servers of a service, including leaving and suspected ones. */
   ofService(service: string): BackendServer[];
   /** Whether new requests may go to the server. */
   isUsable(server: BackendServer): boolean;
-  /** Takes in an entry of the list. */
+  /** Adds or updates a server from its list entry. */
   put(server: BackendServer): void;
   remove(id: string): void;
   /**
-   * Another server has the address: the entry is void until it is written
-   * anew. Asked by its address, the other one answers, so suspicion alone would
-   * end at once, and orders and requests would go there again and again.
+   * Removes a server whose address now belongs to another server, until its
+   * list entry is renewed. Suspicion is not enough: the other server answers
+   * probes at that address, so the suspicion would end at once and requests
+   * and orders would continue to reach the wrong server.
    */
   replaced(id: string): void;
   /**
-   * Share of an engine's memory that answers take, as it said itself a moment
-   * ago; `null` when it was not asked lately.
+   * Share of an engine's memory that answers use, from its latest report;
+   * `null` if that is older than a second.
    */
   reportedLoad(id: string): number | null;
-  /** Takes in what an engine said of itself, which is newer than its entry. */
+  /** Applies an engine's report, which is newer than its list entry. */
   putReport(id: string, report: EngineReport): void;
-  /** Asks an engine what it holds now, since it refused a request. */
+  /**
+   * Handles the refusal of a request by an engine: avoids it for a moment and
+   * reads its report.
+   */
   recheck(id: string): void;
-  /** Calls back when a server came, changed or went. */
+  /** Registers a callback for added, changed, suspected and removed servers. */
   onChanged(callback: (id: string) => void): void;
 }
 
 export interface BackendFleetOptions {
   readonly engines: EngineCalls;
-  /** Of this instance. */
+  /** Failure domain of this instance. */
   readonly failureDomain: string;
   readonly signal: AbortSignal;
 }
 
-/** Creates a fleet without servers. */
+/** Creates an empty fleet. */
 export function createBackendFleet({
   engines,
   failureDomain,
@@ -74,16 +78,19 @@
   const suspicion = createDomainSuspicion(failureDomain);
   const detector = createFailureDetector({
     probe,
-    onSilent: suspectDomain,
-    onSuspected: changed,
+    onSilent: probeDomainIfSuspected,
+    onSuspected: notifyChanged,
     signal,
   });
-  const callbacks: ((id: string) => void)[] = [];
-  const voided = new Map<string, BackendServer>();
+  const changeCallbacks: ((id: string) => void)[] = [];
+  const replacedEntries = new Map<string, BackendServer>();
   const reportedAt = new Map<string, number>();
   const reportedLoads = new Map<string, number>();
 
-  /** Engines are asked for a report; plain services have none. */
+  /**
+   * Reads an engine's report; resolves to whether the engine answered, `null`
+   * for servers of plain services, which have no reports.
+   */
   async function probe(id: string): Promise<boolean | null> {
     const server = servers.get(id);
     if (!server || server.kind === null) return null;
@@ -92,8 +99,8 @@
     return report !== null;
   }
 
-  /** Asks the other engines of a domain when several fell silent. */
-  function suspectDomain(id: string): void {
+  /** Probes all engines of a domain when several stop answering. */
+  function probeDomainIfSuspected(id: string): void {
     const domain = servers.get(id)?.failureDomain;
     if (domain === undefined || !suspicion.silent(domain)) return;
     log.warn("domain_suspected", { domain });
@@ -106,28 +113,30 @@
     }
   }
 
-  function changed(id: string): void {
-    for (const callback of callbacks) callback(id);
+  function notifyChanged(id: string): void {
+    for (const callback of changeCallbacks) callback(id);
   }
 
   function putReport(id: string, report: EngineReport): void {
     const last = servers.get(id);
     if (!last) return;
     const startedAt = report.startedAt ?? last.startedAt;
-    // Of a life that ended, or of one that has not written its entry yet.
+    // The report is from before a restart, or from after one that the list
+    // doesn't show yet.
     if (startedAt !== last.startedAt) return;
     reportedAt.set(id, performance.now());
     const { orderCount, held, usedTokenLayers, totalTokenLayers } = report;
     reportedLoads.set(id, usedTokenLayers / Math.max(1, totalTokenLayers));
     servers.set(id, { ...last, orderCount, held });
-    if (!isSameRange(held, last.held)) changed(id);
+    if (!isSameRange(held, last.held)) notifyChanged(id);
   }
 
   return {
     detector,
     get: (id) => servers.get(id) ?? null,
     byAddress(address) {
-      // The entry of one that ended may still stand beside its successor's.
+      // The entry of a stopped server may still be listed beside the entry of
+      // its successor at the same address.
       let latest: BackendServer | null = null;
       for (const server of servers.values()) {
         if (server.address !== address) continue;
@@ -137,37 +146,37 @@
     },
     reportedLoad(id) {
       const at = reportedAt.get(id) ?? Number.NEGATIVE_INFINITY;
-      if (performance.now() - at > LOAD_HOLDS_MS) return null;
+      if (performance.now() - at > LOAD_REPORT_TTL_MS) return null;
       return reportedLoads.get(id) ?? null;
     },
     ofService: (service) =>
       [...servers.values()].filter((server) => server.service === service),
     isUsable: (server) => !server.leaving && !detector.isAvoided(server.id),
     put(server) {
-      const before = voided.get(server.id);
-      if (before && !isNewer(server, before)) return;
-      voided.delete(server.id);
+      const replacedEntry = replacedEntries.get(server.id);
+      if (replacedEntry && !isNewer(server, replacedEntry)) return;
+      replacedEntries.delete(server.id);
       const last = servers.get(server.id);
-      const isSameLife = last?.startedAt === server.startedAt;
+      const isSameIncarnation = last?.startedAt === server.startedAt;
       if (last && isOlder(server, last)) {
-        // Only its leaving is news.
+        // An older entry can still add that the server is leaving.
         if (!server.leaving || last.leaving) return;
         servers.set(server.id, { ...last, leaving: true });
-      } else if (last && isSameLife) {
-        const isReportNewer = isFresh(reportedAt.get(server.id));
+      } else if (last && isSameIncarnation) {
+        const hasNewerReport = isNewerThanEntries(reportedAt.get(server.id));
         const { orderCount } = last;
-        const held = isReportNewer ? last.held : server.held;
+        const held = hasNewerReport ? last.held : server.held;
         servers.set(server.id, { ...server, orderCount, held });
       } else {
         servers.set(server.id, server);
         reportedAt.delete(server.id);
         detector.worked(server.id);
       }
-      const now = servers.get(server.id);
-      // Renewals come all the time, and would have layers planned each time.
-      if (last && now && isRenewal(now, last)) return;
+      const current = servers.get(server.id);
+      // Renewals arrive constantly, and each callback triggers layer planning.
+      if (last && current && isOnlyRenewal(current, last)) return;
       logChange(server, last);
-      changed(server.id);
+      notifyChanged(server.id);
     },
     remove(id) {
       const last = servers.get(id);
@@ -177,12 +186,12 @@
       reportedLoads.delete(id);
       detector.worked(id);
       log.info("server_gone", { id, address: last.address });
-      changed(id);
+      notifyChanged(id);
     },
     replaced(id) {
       const last = servers.get(id);
       if (!last) return;
-      voided.set(id, last);
+      replacedEntries.set(id, last);
       this.remove(id);
     },
     putReport,
@@ -193,18 +202,18 @@
       });
     },
     onChanged(callback) {
-      callbacks.push(callback);
+      changeCallbacks.push(callback);
     },
   };
 }
 
-/** Whether a report is newer than what an entry that comes now tells. */
-function isFresh(reportedAt: number | undefined): boolean {
+/** Whether a report is newer than any entry that arrives now. */
+function isNewerThanEntries(reportedAt: number | undefined): boolean {
   if (reportedAt === undefined) return false;
   return performance.now() - reportedAt < ENTRY_LAG_MS;
 }
 
-/** Whether an entry was written before the one that is known. */
+/** Whether an entry was written before the known one. */
 function isOlder(entry: BackendServer, known: BackendServer): boolean {
   if (entry.startedAt !== known.startedAt) {
     return entry.startedAt < known.startedAt;
@@ -220,8 +229,8 @@
   return a?.from === b?.from && a?.to === b?.to;
 }
 
-/** Whether an entry tells the same as before, but that its server lives. */
-function isRenewal(entry: BackendServer, last: BackendServer): boolean {
+/** Whether an entry differs from the last one only in its renewal number. */
+function isOnlyRenewal(entry: BackendServer, last: BackendServer): boolean {
   return isDeepStrictEqual({ ...entry, renewal: last.renewal }, last);
 }
 
--- a/packages/gateway/src/backends/backend_fleet_test.ts
+++ b/packages/gateway/src/backends/backend_fleet_test.ts
@@ -25,10 +25,10 @@
   } as BackendServer;
 }
 
-/** A fleet seen from domain `a`; engines in `cut` don't answer. */
+/** Fleet of an instance in domain `a`; engines in `cut` don't answer. */
 function setUp(cut: ReadonlySet<string>) {
   const asked: string[] = [];
-  const ending = new AbortController();
+  const controller = new AbortController();
   const report = { held: null, orderCount: 0, startedAt: 1 };
   const engines = {
     report: async (address: string) => {
@@ -39,18 +39,18 @@
   const fleet = createBackendFleet({
     engines,
     failureDomain: "a",
-    signal: ending.signal,
+    signal: controller.signal,
   });
   for (const id of ["a1", "a2", "a3"]) fleet.put(engine(id, "a"));
   for (const id of ["b1", "b2", "b3", "b4"]) fleet.put(engine(id, "b"));
-  return { fleet, asked, end: () => ending.abort() };
+  return { fleet, asked, end: () => controller.abort() };
 }
 
-describe("a failure domain that is cut off", () => {
-  it("is found out as a whole when two of its engines fall silent", async () => {
-    // Requests use two engines of a domain when it is cut off. The others
-    // counted as serving until requests failed there too, so that their
-    // layers were not loaded elsewhere, and callers were refused meanwhile.
+describe("suspicion of a failure domain", () => {
+  it("covers all its engines when two of them stop answering", async () => {
+    // A domain is cut off while requests use two of its engines. If the others
+    // counted as alive until requests failed there too, their layers would not
+    // be loaded elsewhere, and callers would be refused meanwhile.
     const { fleet, end } = setUp(new Set(["b1", "b2", "b3", "b4"]));
     fleet.detector.away("b1", "silent");
     fleet.detector.away("b2", "silent");
@@ -60,7 +60,7 @@
     end();
   });
 
-  it("leaves those of its engines in use that answer", async () => {
+  it("excludes engines that answer a probe", async () => {
     const { fleet, end } = setUp(new Set(["b1", "b2"]));
     fleet.detector.away("b1", "silent");
     fleet.detector.away("b2", "silent");
@@ -71,8 +71,8 @@
 
   it.each([
     ["one engine of another domain", ["b1"]],
-    ["engines of the own domain", ["a1", "a2"]],
-  ])("is not suspected for %s", async (_name, silent) => {
+    ["engines of the local domain", ["a1", "a2"]],
+  ])("is not caused by %s", async (_name, silent) => {
     const { fleet, asked, end } = setUp(new Set(silent));
     for (const id of silent) fleet.detector.away(id, "silent");
     await vi.advanceTimersByTimeAsync(1_000);
@@ -81,10 +81,10 @@
   });
 });
 
-describe("the load of an engine", () => {
-  it("is known from its report for a moment", async () => {
-    // Other instances fill an engine. This one knows of its own answers only,
-    // and sends the next one there again right after a refusal.
+describe("reported load of an engine", () => {
+  it("is valid for a second after the report", async () => {
+    // Other instances fill an engine. Without the reported load, this instance
+    // would count only its own answers and retry there right after a refusal.
     const { fleet, end } = setUp(new Set());
     expect(fleet.reportedLoad("a1")).toBeNull();
     const report = { held: null, orderCount: 0, startedAt: 1 };
@@ -97,10 +97,10 @@
   });
 });
 
-describe("an entry that is written again", () => {
-  it("is news only if it says something else", () => {
-    // Forty servers renew their entries every second. Each renewal woke the
-    // planner of layers, which looked at the whole fleet again.
+describe("renewal of a list entry", () => {
+  it("triggers callbacks only if another field changes", () => {
+    // Forty servers renew their entries every second. If each renewal woke the
+    // layer planner, it would plan the whole fleet each time.
     const { fleet, end } = setUp(new Set());
     const news: string[] = [];
     fleet.onChanged((id) => news.push(id));
--- a/packages/gateway/src/backends/failure_detector.ts
+++ b/packages/gateway/src/backends/failure_detector.ts
@@ -1,59 +1,59 @@
 /**
- * Which backend servers are left alone after failures, and since when they
- * are taken for gone.
+ * Failure detector for backend servers: which servers get no requests after a
+ * failure, and which count as dead.
  */
 import { createLogger } from "@rosemarypin/telemetry";
 import { pause } from "@rosemarypin/timing";
 
 /**
- * Time for which a server that refused a request is left alone, in
- * milliseconds. It gives layers up, or has no memory left; both pass soon, and
- * it is asked what it holds meanwhile.
+ * Time for which a server gets no requests after it refused one. It is
+ * releasing layers or out of memory, and both are short; its report is read
+ * meanwhile.
  */
-const REFUSED_FOR_MS = 250;
-/** Pause before a probe of a server that did not answer; doubled each time. */
-const FIRST_PROBE_MS = 150;
-const LONGEST_PROBE_MS = 1_200;
-/** Probes in a row without an answer after which a server counts as gone. */
-const MISSES_OF_GONE = 2;
-/** Probes without an answer that each reason stands for. */
-const MISSES_BY_REASON: Readonly<Record<AwayReason, number>> = {
+const REFUSAL_COOLDOWN_MS = 250;
+/** Delay before the first repeated probe; doubles with each missed probe. */
+const FIRST_PROBE_DELAY_MS = 150;
+const LONGEST_PROBE_DELAY_MS = 1_200;
+/** Consecutive missed probes after which a server counts as dead. */
+const MISSES_UNTIL_DEAD = 2;
+/** Number of missed probes that a suspicion starts with, by reason. */
+const INITIAL_MISSES: Readonly<Record<SuspicionReason, number>> = {
   silent: 0,
   unresponsive: 1,
-  ended: MISSES_OF_GONE,
+  ended: MISSES_UNTIL_DEAD,
 };
 /**
- * A server without probes is tried again after this, doubled with each
- * failure; its own requests then show whether it is back.
+ * Time for which a server that can't be probed gets no requests; doubles with
+ * each failure. The next request then shows whether the server has recovered.
  */
-const FIRST_AVOIDED_MS = 800;
-const LONGEST_AVOIDED_MS = 6_400;
-/** Without a failure for so long, a server starts from the beginning. */
-const FORGET_AFTER_MS = 15_000;
+const FIRST_BACKOFF_MS = 800;
+const LONGEST_BACKOFF_MS = 6_400;
+/** Time without a failure that resets a server's backoff. */
+const RESET_BACKOFF_AFTER_MS = 15_000;
 
 const log = createLogger("failures");
 
 /** Why a server is suspected. */
-export type AwayReason =
-  /** It did not answer, or a connection did not come about. */
+export type SuspicionReason =
+  /** No answer, or no connection within the time limit. */
   | "silent"
-  /** It did not answer a probe, and its answers stand still. */
+  /** No answer to a probe, and its answers in progress are stalled. */
   | "unresponsive"
-  /** Its address refuses connections: the process has ended. */
+  /** The address refuses connections: the process has ended. */
   | "ended";
 
 export interface FailureDetector {
-  /** The server did not answer. */
-  away(id: string, reason: AwayReason): void;
-  /** The server, or a pipeline because of it, refused a request. */
+  /** Records a failure of the server. */
+  away(id: string, reason: SuspicionReason): void;
+  /** Records that the server, or a pipeline because of it, refused a request. */
   refused(id: string): void;
-  /** The server has shown that it works, or has started anew. */
+  /** Records that the server works or has restarted; ends any suspicion. */
   worked(id: string): void;
-  /** Whether requests keep away from it. */
+  /** Whether the server gets no new requests at present. */
   isAvoided(id: string): boolean;
-  /** Whether engines without work may take its layers, should it be gone. */
+  /** Whether engines without layers may load its layers in advance. */
   isSuspected(id: string): boolean;
-  /** Whether its layers are to be held by others. */
+  /** Whether the server counts as dead, so that others take its layers. */
   isGone(id: string): boolean;
 }
 
@@ -66,16 +66,16 @@
 }
 
 export interface FailureDetectorOptions {
-  /** Asks a server whether it works; `null` for those that can't be asked. */
+  /** Resolves to whether a server answered, `null` if it can't be probed. */
   readonly probe: (id: string) => Promise<boolean | null>;
-  /** Called when a server falls silent that was not suspected before. */
+  /** Called when a server that was not suspected stops answering. */
   readonly onSilent?: (id: string) => void;
-  /** Called with each sign that a server may be gone. */
+  /** Called with each missed probe or failure of a suspected server. */
   readonly onSuspected?: (id: string) => void;
   readonly signal: AbortSignal;
 }
 
-/** Creates a record without any suspicion. */
+/** Creates a failure detector without suspicions. */
 export function createFailureDetector({
   probe,
   onSilent,
@@ -86,15 +86,15 @@
   const refusals = new Map<string, number>();
 
   /**
-   * A server that was silent is trusted again once it answers a probe. Trusted
-   * after a while without one, a dead stage would take a new batch of answers
-   * each time, and hold up each for seconds.
+   * Probes a suspected server until it answers one. If a suspicion expired by
+   * time instead, a dead stage would get a new batch of answers each time and
+   * stall each of them for seconds.
    */
-  async function probeUntilBack(
+  async function probeUntilRecovered(
     id: string,
     suspicion: Suspicion,
   ): Promise<void> {
-    let waitMs = FIRST_PROBE_MS;
+    let waitMs = FIRST_PROBE_DELAY_MS;
     while (!signal.aborted && suspicions.get(id) === suspicion) {
       await pause(waitMs, signal);
       const works = await probe(id);
@@ -111,21 +111,25 @@
       }
       suspicion.misses += 1;
       onSuspected?.(id);
-      if (suspicion.misses === MISSES_OF_GONE) {
+      if (suspicion.misses === MISSES_UNTIL_DEAD) {
         log.warn("server_not_answering", { id, misses: suspicion.misses });
       }
-      waitMs = Math.min(LONGEST_PROBE_MS, waitMs * 2);
+      waitMs = Math.min(LONGEST_PROBE_DELAY_MS, waitMs * 2);
     }
   }
 
-  function avoidForAWhile(suspicion: Suspicion): void {
-    const lastsMs = FIRST_AVOIDED_MS * 2 ** (suspicion.failures - 1);
-    suspicion.until = performance.now() + Math.min(LONGEST_AVOIDED_MS, lastsMs);
+  function startBackoff(suspicion: Suspicion): void {
+    const backoffMs = FIRST_BACKOFF_MS * 2 ** (suspicion.failures - 1);
+    suspicion.until =
+      performance.now() + Math.min(LONGEST_BACKOFF_MS, backoffMs);
   }
 
-  async function begin(id: string, reason: AwayReason): Promise<void> {
+  async function startSuspicion(
+    id: string,
+    reason: SuspicionReason,
+  ): Promise<void> {
     const now = performance.now();
-    const misses = MISSES_BY_REASON[reason];
+    const misses = INITIAL_MISSES[reason];
     const suspicion: Suspicion = {
       since: now,
       probed: true,
@@ -139,34 +143,34 @@
     if (misses > 0) onSuspected?.(id);
     if ((await probe(id)) === null) {
       suspicions.set(id, { ...suspicion, probed: false, misses: 0 });
-      const timed = suspicions.get(id);
-      if (timed) avoidForAWhile(timed);
+      const unprobed = suspicions.get(id);
+      if (unprobed) startBackoff(unprobed);
       return;
     }
-    await probeUntilBack(id, suspicion);
+    await probeUntilRecovered(id, suspicion);
   }
 
   return {
     away(id, reason) {
       const last = suspicions.get(id);
       if (!last) {
-        void begin(id, reason);
+        void startSuspicion(id, reason);
         return;
       }
       if (last.probed) {
-        last.misses = Math.max(last.misses, MISSES_BY_REASON[reason]);
+        last.misses = Math.max(last.misses, INITIAL_MISSES[reason]);
         if (last.misses > 0) onSuspected?.(id);
         return;
       }
-      // Requests sent before the first failure showed say nothing new.
+      // Requests that were sent before the backoff began may still fail.
       const now = performance.now();
       if (now < last.until) return;
-      const isRecent = now - last.until < FORGET_AFTER_MS;
+      const isRecent = now - last.until < RESET_BACKOFF_AFTER_MS;
       last.failures = isRecent ? last.failures + 1 : 1;
-      avoidForAWhile(last);
+      startBackoff(last);
     },
     refused(id) {
-      refusals.set(id, performance.now() + REFUSED_FOR_MS);
+      refusals.set(id, performance.now() + REFUSAL_COOLDOWN_MS);
     },
     worked(id) {
       suspicions.delete(id);
@@ -184,7 +188,9 @@
     },
     isGone(id) {
       const suspicion = suspicions.get(id);
-      return suspicion?.probed === true && suspicion.misses >= MISSES_OF_GONE;
+      return (
+        suspicion?.probed === true && suspicion.misses >= MISSES_UNTIL_DEAD
+      );
     },
   };
 }
--- a/packages/gateway/src/backends/failure_detector_test.ts
+++ b/packages/gateway/src/backends/failure_detector_test.ts
@@ -9,22 +9,22 @@
 });
 
 function setUp(probe: (id: string) => boolean | null) {
-  const ending = new AbortController();
+  const controller = new AbortController();
   const probed: string[] = [];
   const detector = createFailureDetector({
-    signal: ending.signal,
+    signal: controller.signal,
     async probe(id) {
       probed.push(id);
       return probe(id);
     },
   });
-  return { detector, probed, end: () => ending.abort() };
+  return { detector, probed, end: () => controller.abort() };
 }
 
-describe("a backend server that was silent", () => {
-  it("is left alone until it answers a probe", async () => {
-    // A stage goes dark. Each time its suspicion ran out by itself, a batch of
-    // answers was sent to it and stood still for seconds.
+describe("backend server that failed to answer", () => {
+  it("gets no requests until it answers a probe", async () => {
+    // A stage stops answering. If its suspicion expired by time, a batch of
+    // answers would be sent to it each time and stall for seconds.
     let works = false;
     const { detector, end } = setUp(() => works);
     detector.away("e", "silent");
@@ -36,9 +36,9 @@
     end();
   });
 
-  it("is gone after two probes without an answer, not before", async () => {
-    // The planner moved engines into the place of one that had only been
-    // slow once: layers that they gave up were missing in other pipelines.
+  it("counts as dead after two missed probes, not before", async () => {
+    // An engine is slow once. If the planner replaced it at once, the layers
+    // that its replacements release would be missing in other pipelines.
     const { detector, probed, end } = setUp(() => false);
     detector.away("e", "silent");
     await vi.advanceTimersByTimeAsync(0);
@@ -51,14 +51,14 @@
     end();
   });
 
-  it("is gone at once when its address refuses connections", () => {
+  it("counts as dead at once when its address refuses connections", () => {
     const { detector, end } = setUp(() => false);
     detector.away("e", "ended");
     expect(detector.isGone("e")).toBe(true);
     end();
   });
 
-  it("is trusted when it starts anew", () => {
+  it("gets requests after a restart", () => {
     const { detector, end } = setUp(() => false);
     detector.away("e", "ended");
     detector.worked("e");
@@ -68,7 +68,7 @@
   });
 });
 
-it("a server that refused is kept away from for a moment only", () => {
+it("a server that refused a request is avoided for less than 300 ms", () => {
   const { detector, end } = setUp(() => true);
   detector.refused("e");
   expect(detector.isAvoided("e")).toBe(true);
@@ -78,7 +78,7 @@
   end();
 });
 
-it("a server without probes is tried again after a longer time each", async () => {
+it("a server without probes gets requests after an exponential backoff", async () => {
   const { detector, end } = setUp(() => null);
   const waits: number[] = [];
   for (let failure = 0; failure < 5; failure += 1) {
--- a/packages/gateway/src/backends/mod.ts
+++ b/packages/gateway/src/backends/mod.ts
@@ -1,4 +1,4 @@
-/** What is known of backend servers, and the connections to them. */
+/** State of the backend servers, and the connections to them. */
 export * from "./backend_exchange.ts";
 export * from "./backend_fleet.ts";
 export * from "./timed_connector.ts";
--- a/packages/gateway/src/backends/timed_connector.ts
+++ b/packages/gateway/src/backends/timed_connector.ts
@@ -1,14 +1,14 @@
-/** Makes connections within a time that holds to the millisecond. */
+/** Opens connections with a timeout that is exact to the millisecond. */
 import { connect } from "node:net";
 import { type buildConnector, errors } from "undici";
 
-/** Code of a connection that was reset after it stood. */
-const RESET_MIDWAY = "ERR_CONNECTION_RESET";
+/** Error code for a connection that was reset after it was established. */
+const RESET_AFTER_CONNECT = "ERR_CONNECTION_RESET";
 
 /**
- * Creates the connector of an undici client. The client's own bound on the
- * time to connect is counted in steps of up to a second, longer than requests
- * have before another server is to be tried.
+ * Creates a connector for undici clients. The client's own connect timeout has
+ * a resolution of up to a second, which is longer than a request may wait
+ * before another server is tried.
  */
 export function createTimedConnector(
   timeoutMs: number,
@@ -36,10 +36,10 @@
 }
 
 /**
- * The client takes a reset for the orderly end of an answer that has no
- * length, and half an answer passes for a whole one. It knows a reset by its
- * code; this listener comes before its own.
+ * Changes the error code of a reset. undici treats `ECONNRESET` as the regular
+ * end of an answer without a content length, so that half an answer would pass
+ * for a whole one. This listener is registered before the client's own.
  */
 function renameReset(error: NodeJS.ErrnoException): void {
-  if (error.code === "ECONNRESET") error.code = RESET_MIDWAY;
+  if (error.code === "ECONNRESET") error.code = RESET_AFTER_CONNECT;
 }
--- a/packages/gateway/src/callers/caller_answer.ts
+++ b/packages/gateway/src/callers/caller_answer.ts
@@ -1,29 +1,30 @@
-/** Writes answers to callers: those of backend servers, and our own. */
+/** Writes answers to callers: relayed ones and the gateway's own. */
 import type { ServerResponse } from "node:http";
 import type { OpenAnswer } from "../backends/mod.ts";
 import type { RequestCodec } from "../protocol.ts";
 import type { CallEnd, CallerCall, CallOutcome } from "./caller_call.ts";
 
-/** Statuses that promise that the request did not and will not run. */
+/** Statuses that guarantee that the request did not and will not run. */
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
-/** A span from which a time to come back is drawn, in seconds. */
+
+/** Range in seconds from which a retry delay for a caller is drawn. */
 export interface ReturnSpan {
   readonly least: number;
   readonly most: number;
 }
 
-/** Servers of plain services that are full have room again this soon. */
-const RETURN_SECONDS: ReturnSpan = { least: 0.4, most: 1.6 };
+/** Full servers of plain services have capacity again after this time. */
+const FULL_SERVER_RETRY_AFTER: ReturnSpan = { least: 0.4, most: 1.6 };
 
 export interface RefusalOptions {
   readonly status: number;
   readonly reason: string;
   readonly requestId: string | null;
-  /** When to come back, in seconds; chosen here when left out. */
+  /** Delay before a retry; drawn at random if omitted. */
   readonly retryAfterSeconds?: number;
 }
 
-/** Writes an answer of our own; does nothing when one has begun. */
+/** Writes an error answer; does nothing if an answer has begun. */
 export function refuse(
   codec: RequestCodec,
   response: ServerResponse,
@@ -35,7 +36,7 @@
     ...codec.encodeRefusal({
       requestId,
       retryAfterSeconds: NOT_RUN_STATUSES.has(status)
-        ? (retryAfterSeconds ?? drawReturn(RETURN_SECONDS))
+        ? (retryAfterSeconds ?? drawReturn(FULL_SERVER_RETRY_AFTER))
         : null,
     }),
     "Content-Type": "application/json",
@@ -44,15 +45,16 @@
   response.end(body);
 }
 
-/** Draws when to come back; those refused together return one by one. */
+/** Draws a delay in seconds; randomness spreads the retries of callers. */
 export function drawReturn({ least, most }: ReturnSpan): number {
   return least + Math.random() * (most - least);
 }
 
 /**
- * Begins a backend server's answer to its caller. An answer without a length
- * ends with its connection, whether its server ended it or broke off. It goes
- * on in the same way: with a length of our own, half of it would look whole.
+ * Writes status and headers of a backend server's answer to the caller. An
+ * answer without a length ends when its connection closes, also if it breaks
+ * off. It is relayed without chunked encoding, since the final chunk would make
+ * a truncated answer look complete.
  */
 export function beginAnswer(
   codec: RequestCodec,
@@ -64,7 +66,7 @@
   response.writeHead(status, codec.encodeAnswer(headers));
 }
 
-/** Ends a call with an answer of our own, and says how it ended. */
+/** Ends a call with an error answer and returns its end. */
 export function endWithRefusal(
   codec: RequestCodec,
   call: CallerCall,
@@ -76,7 +78,7 @@
   },
 ): CallEnd {
   const { outcome, reason, attempts } = options;
-  const status = outcome === "not_run" ? 503 : isTimeOver(call) ? 504 : 502;
+  const status = outcome === "not_run" ? 503 : isPastDeadline(call) ? 504 : 502;
   refuse(codec, call.response, {
     status,
     reason,
@@ -88,6 +90,6 @@
   return { status, outcome, reason, attempts, firstByteMs: null };
 }
 
-function isTimeOver(call: CallerCall): boolean {
+function isPastDeadline(call: CallerCall): boolean {
   return performance.now() >= call.deadlineAt;
 }
--- a/packages/gateway/src/callers/caller_call.ts
+++ b/packages/gateway/src/callers/caller_call.ts
@@ -1,11 +1,11 @@
-/** A caller's request while this instance works on it. */
+/** A caller's request in progress, and its end. */
 import type { ServerResponse } from "node:http";
 import type { Organisation, Route, Service } from "../configuration.ts";
 import type { RequestFacts } from "../protocol.ts";
 import type { PaceSummary } from "./stream_pace.ts";
 
 export interface CallerCall {
-  /** The caller's id of the request, or one of ours. */
+  /** The caller's request id, or a generated one. */
   readonly id: string;
   readonly facts: RequestFacts;
   readonly route: Route;
@@ -19,32 +19,32 @@
   readonly response: ServerResponse;
   /** By the monotonic clock, in milliseconds. */
   readonly startedAt: number;
-  /** When the caller or the route gives up, by the same clock. */
+  /** Deadline of the caller or the route, by the same clock. */
   readonly deadlineAt: number;
-  /** Aborted when the caller left or the time is over. */
+  /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
-  /** Whether it was the caller who left. */
+  /** Whether the caller disconnected before the end of the answer. */
   readonly callerLeft: () => boolean;
 }
 
 /** How a request ended, for the log and the metrics. */
 export interface CallEnd {
-  /** What the caller got; 0 for a closed connection. */
+  /** HTTP status sent to the caller; 0 if the connection closed first. */
   readonly status: number;
   readonly outcome: CallOutcome;
   readonly reason: string;
-  /** Backend servers that it was sent to. */
+  /** Number of times that the request was sent to a backend server. */
   readonly attempts: number;
-  /** Time to the first byte of the answer; `null` when there was none. */
+  /** Milliseconds to the first byte of the answer; `null` without one. */
   readonly firstByteMs: number | null;
-  /** Present for streams of which events went out. */
+  /** Event timing of a stream; absent for plain and refused calls. */
   readonly pace?: PaceSummary;
 }
 
 /**
- * `answered`: a backend server's answer was passed on whole. `not_run`: it
- * did not and will not run. `unknown`: it may have run. `cut`: an answer
- * broke off. `caller_left`: nobody waits any more.
+ * `answered`: a backend server's answer was relayed in full. `not_run`: the
+ * request did not and will not run. `unknown`: it may have run. `cut`: an
+ * answer broke off. `caller_left`: the caller disconnected.
  */
 export type CallOutcome =
   | "answered"
@@ -53,12 +53,12 @@
   | "cut"
   | "caller_left";
 
-/** Milliseconds until the time of a call is over. */
+/** Milliseconds until the deadline of a call; negative after it. */
 export function timeLeftMs({ deadlineAt }: CallerCall): number {
   return deadlineAt - performance.now();
 }
 
-/** The priority that counts: the organisation's before the route's. */
+/** Priority of the call's organisation, or of its route if that has none. */
 export function priorityOf({ organisation, route }: CallerCall): number {
   return organisation?.priority ?? route.priority;
 }
--- a/packages/gateway/src/callers/caller_listener.ts
+++ b/packages/gateway/src/callers/caller_listener.ts
@@ -1,4 +1,4 @@
-/** Takes callers' requests in and hands them to be forwarded. */
+/** HTTP listener that admits callers' requests and has them forwarded. */
 import {
   createServer,
   type IncomingMessage,
@@ -21,23 +21,23 @@
 import type { CallEnd, CallerCall } from "./caller_call.ts";
 import type { WarmUp } from "./warm_up.ts";
 
-/** Until a configuration tells the bounds on callers. */
-const FIRST_LIMITS: CallerLimits = {
+/** Limits that apply until the first configuration is in force. */
+const DEFAULT_LIMITS: CallerLimits = {
   headerBytes: 16_384,
   bodyBytes: 4_194_304,
   headerTimeoutMs: 3_000,
   idleTimeoutMs: 15_000,
 };
-/** What the parser takes at most; the configuration's bound is smaller. */
+/** Limit of the HTTP parser, above the limit of any configuration. */
 const PARSER_HEADER_BYTES = 65_536;
-/** The whole request, with a body that is sent slowly, in milliseconds. */
+/** Time limit for receiving a whole request including its body. */
 const REQUEST_TIMEOUT_MS = 20_000;
 const DEFAULT_DEADLINE_MS = 30_000;
 /**
- * How long requests are taken after the signal to stop, in milliseconds. The
- * balancer sends connections until it has missed two answers, a second apart.
- * A request that comes later was sent on a kept connection, and its answer
- * might not end before the process has to: it is refused, as not run.
+ * Time for which requests are accepted after the signal to stop. The load
+ * balancer sends connections until two readiness checks a second apart have
+ * failed. A later request was sent on a kept-alive connection, and its answer
+ * might not end before the process exits, so it is refused as not run.
  */
 export const TAKEN_AFTER_STOP_MS = 2_600;
 
@@ -47,7 +47,7 @@
   readonly keeper: ConfigurationKeeper;
   readonly codec: RequestCodec;
   readonly forward: (call: CallerCall) => Promise<CallEnd>;
-  /** What a request waits for right after the start. */
+  /** Awaited before each request is admitted. */
   readonly warmUp: WarmUp;
   /** Milliseconds since the signal to stop; `null` before it. */
   readonly stoppingForMs: () => number | null;
@@ -60,7 +60,7 @@
   inProgress(): number;
 }
 
-interface Admitted {
+interface Admission {
   readonly route: Route;
   readonly service: Service;
   readonly organisation: Organisation | null;
@@ -71,7 +71,7 @@
   readonly reason: string;
 }
 
-/** Creates the listener; it is not bound to an address yet. */
+/** Creates the listener; the caller binds it to an address. */
 export function createCallerListener(
   options: CallerListenerOptions,
 ): CallerListener {
@@ -79,16 +79,16 @@
   let inProgress = 0;
   const server = createServer(
     { maxHeaderSize: PARSER_HEADER_BYTES, requestTimeout: REQUEST_TIMEOUT_MS },
-    (request, response) => void take(request, response),
+    (request, response) => void handleTracked(request, response),
   );
-  applyLimits(server, FIRST_LIMITS);
+  applyLimits(server, DEFAULT_LIMITS);
   keeper.onChanged(({ limits }) => applyLimits(server, limits));
 
   function isStopping(): boolean {
     return options.stoppingForMs() !== null;
   }
 
-  async function take(
+  async function handleTracked(
     request: IncomingMessage,
     response: ServerResponse,
   ): Promise<void> {
@@ -113,14 +113,15 @@
     const facts = codec.decodeRequest(request.headers);
     await options.warmUp();
     const applied = keeper.applied();
-    const isLate = (options.stoppingForMs() ?? 0) > TAKEN_AFTER_STOP_MS;
-    const admitted = isLate
+    const isPastStopGrace =
+      (options.stoppingForMs() ?? 0) > TAKEN_AFTER_STOP_MS;
+    const admitted = isPastStopGrace
       ? { status: 503, reason: "stopping" }
       : admit(request, { facts, applied });
     if ("status" in admitted) {
       return refuseRequest(request, response, { facts, refusal: admitted });
     }
-    const body = await readBody(request, applied?.limits ?? FIRST_LIMITS);
+    const body = await readBody(request, applied?.limits ?? DEFAULT_LIMITS);
     if (body === "too_large") {
       const refusal = { status: 413, reason: "body_too_large" };
       response.setHeader("Connection", "close");
@@ -132,18 +133,18 @@
       return;
     }
     const { route } = admitted;
-    const waitMs = Math.min(
+    const callTimeoutMs = Math.min(
       facts.deadlineMs ?? DEFAULT_DEADLINE_MS,
       route.timeoutMs,
     );
-    const left = new AbortController();
+    const callAbort = new AbortController();
     let callerLeft = false;
-    const timer = setTimeout(() => left.abort(), waitMs);
+    const timer = setTimeout(() => callAbort.abort(), callTimeoutMs);
     response.once("close", () => {
-      // Nothing waits for the signal any more once the answer is out.
+      // After a complete answer, the close needs no abort.
       if (response.writableFinished) return;
       callerLeft = true;
-      left.abort();
+      callAbort.abort();
     });
     const call: CallerCall = {
       id: facts.requestId ?? crypto.randomUUID(),
@@ -155,8 +156,8 @@
       body,
       response,
       startedAt,
-      deadlineAt: startedAt + waitMs,
-      signal: left.signal,
+      deadlineAt: startedAt + callTimeoutMs,
+      signal: callAbort.signal,
       callerLeft: () => callerLeft,
     };
     try {
@@ -190,14 +191,14 @@
   return { server, inProgress: () => inProgress };
 }
 
-/** Decides whether a request may be forwarded, and by which route. */
+/** Finds route, service and organisation of a request, or refuses it. */
 function admit(
   request: IncomingMessage,
   options: {
     readonly facts: RequestFacts;
     readonly applied: AppliedConfiguration | null;
   },
-): Admitted | Refusal {
+): Admission | Refusal {
   const { facts, applied } = options;
   if (!applied) return { status: 503, reason: "no_configuration" };
   if (headerBytes(request.rawHeaders) > applied.limits.headerBytes) {
@@ -212,7 +213,7 @@
   if (!organisation && applied.organisations && !route.isPublic) {
     return { status: 401, reason: "unknown_key" };
   }
-  const service = chooseShare(route, applied.services);
+  const service = drawService(route, applied.services);
   if (!service) return { status: 503, reason: "no_service" };
   return { route, service, organisation };
 }
@@ -224,16 +225,16 @@
   return key === null ? null : (organisations?.get(key) ?? null);
 }
 
-/** Draws the service of a request by the weights of the route's shares. */
-function chooseShare(
+/** Draws a service at random by the weights of the route's shares. */
+function drawService(
   { shares }: Route,
   services: ReadonlyMap<string, Service>,
 ): Service | null {
   const total = shares.reduce((sum, { weight }) => sum + weight, 0);
-  let drawn = Math.random() * total;
+  let remainingWeight = Math.random() * total;
   for (const { service, weight } of shares) {
-    drawn -= weight;
-    if (drawn < 0) return services.get(service) ?? null;
+    remainingWeight -= weight;
+    if (remainingWeight < 0) return services.get(service) ?? null;
   }
   return services.get(shares.at(-1)?.service ?? "") ?? null;
 }
@@ -272,8 +273,8 @@
   server.keepAliveTimeout = limits.idleTimeoutMs;
 }
 
-/** Which objective of its route a whole answer missed, if any. */
-function latenessOf(
+/** Returns which objective of its route a complete answer missed, if any. */
+function missedObjectiveOf(
   { route, startedAt }: CallerCall,
   { outcome, firstByteMs, pace }: CallEnd,
 ): "first" | "pause" | undefined {
@@ -296,7 +297,7 @@
     attempts: end.attempts,
     first_ms: end.firstByteMs === null ? undefined : end.firstByteMs.toFixed(0),
     total_ms: (performance.now() - call.startedAt).toFixed(0),
-    late: latenessOf(call, end),
+    late: missedObjectiveOf(call, end),
     events: end.pace?.events,
     pause_ms: end.pace?.pauseMs.toFixed(0),
     pause_at_ms: end.pace?.pauseAtMs.toFixed(0),
--- a/packages/gateway/src/callers/mod.ts
+++ b/packages/gateway/src/callers/mod.ts
@@ -1,4 +1,4 @@
-/** Takes calls from callers, and answers them. */
+/** Accepts callers' requests and writes their answers. */
 export * from "./caller_answer.ts";
 export * from "./caller_call.ts";
 export * from "./caller_listener.ts";
--- a/packages/gateway/src/callers/stream_pace.ts
+++ b/packages/gateway/src/callers/stream_pace.ts
@@ -1,4 +1,4 @@
-/** When the events of a stream reached its caller. */
+/** Measures when the events of a stream are passed to its caller. */
 
 export interface PaceSummary {
   readonly events: number;
@@ -11,13 +11,17 @@
 }
 
 export interface StreamPace {
-  /** Takes in that an event is passed on now. */
+  /** Records that an event is passed on now. */
   event(): void;
-  /** The pauses between the events so far. */
+  /** Returns the measurements so far. */
   summary(): PaceSummary;
 }
 
-/** Creates the record of one stream, whose request came at `startedAt`. */
+/**
+ * Creates the measurement of one stream.
+ *
+ * @param startedAt Arrival of the request by the monotonic clock, in ms.
+ */
 export function createStreamPace(startedAt: number): StreamPace {
   let events = 0;
   let firstMs: number | null = null;
@@ -25,7 +29,7 @@
   let pauseMs = 0;
   let pauseAtMs = 0;
 
-  function notePause(now: number): void {
+  function updateLongestPause(now: number): void {
     if (events === 0 || now - lastAt <= pauseMs) return;
     pauseMs = now - lastAt;
     pauseAtMs = lastAt - startedAt;
@@ -34,7 +38,7 @@
   return {
     event() {
       const now = performance.now();
-      notePause(now);
+      updateLongestPause(now);
       events += 1;
       firstMs ??= now - startedAt;
       lastAt = now;
--- a/packages/gateway/src/callers/stream_pace_test.ts
+++ b/packages/gateway/src/callers/stream_pace_test.ts
@@ -9,8 +9,8 @@
   vi.useRealTimers();
 });
 
-describe("the pace of a stream", () => {
-  it("tells the first event and the longest pause", () => {
+describe("stream pace", () => {
+  it("reports the first event and the longest pause", () => {
     const pace = createStreamPace(performance.now());
     for (const waitMs of [80, 40, 300, 50]) {
       vi.advanceTimersByTime(waitMs);
@@ -24,7 +24,7 @@
     });
   });
 
-  it("knows no pause before the first event", () => {
+  it("reports no pause before the first event", () => {
     const pace = createStreamPace(performance.now());
     vi.advanceTimersByTime(500);
     expect(pace.summary()).toEqual({
--- a/packages/gateway/src/callers/warm_up.ts
+++ b/packages/gateway/src/callers/warm_up.ts
@@ -1,21 +1,22 @@
-/** Lets callers wait while an instance that has just started reads the store. */
+/** Delays requests while a newly started instance first reads the store. */
 import { pause } from "@rosemarypin/timing";
 
 /**
- * How long after the start callers wait at most, in milliseconds. The first
- * reading takes some tens of them; a caller that is refused in that time comes
- * back a second later.
+ * Maximum time after the start for which requests wait. The first read of the
+ * store takes some tens of milliseconds, while a caller that is refused in that
+ * time retries only a second later.
  */
-const LONGEST_WAIT_MS = 400;
-const LOOK_EVERY_MS = 10;
+const MAX_WAIT_MS = 400;
+const POLL_EVERY_MS = 10;
 
-/** Resolves once the instance knows what it needs, or after a while. */
+/** Resolves once the instance is warm or the maximum wait is over. */
 export type WarmUp = () => Promise<void>;
 
-/** Creates the wait of an instance that starts now. */
+/** Creates the warm-up of an instance that starts now. */
 export function createWarmUp(isWarm: () => boolean): WarmUp {
-  const until = performance.now() + LONGEST_WAIT_MS;
+  const waitEndsAt = performance.now() + MAX_WAIT_MS;
   return async () => {
-    while (!isWarm() && performance.now() < until) await pause(LOOK_EVERY_MS);
+    while (!isWarm() && performance.now() < waitEndsAt)
+      await pause(POLL_EVERY_MS);
   };
 }
--- a/packages/gateway/src/callers/warm_up_test.ts
+++ b/packages/gateway/src/callers/warm_up_test.ts
@@ -9,7 +9,7 @@
   vi.useRealTimers();
 });
 
-it("a caller waits until the first reading, and not after it", async () => {
+it("warm-up lets a caller wait until the first read of the store", async () => {
   let isWarm = false;
   const warmUp = createWarmUp(() => isWarm);
   let waited = 0;
@@ -24,7 +24,7 @@
   expect(waited - startedAt).toBe(60);
 });
 
-it("a caller waits no longer than a while for a store that is away", async () => {
+it("warm-up ends after 400 ms when the store is unreachable", async () => {
   const warmUp = createWarmUp(() => false);
   const startedAt = performance.now();
   const waiting = warmUp();
--- a/packages/gateway/src/operators/administration.ts
+++ b/packages/gateway/src/operators/administration.ts
@@ -1,4 +1,4 @@
-/** What operators may ask one instance: notes, status, and why. */
+/** Read-only administration API: release notes, status and explanations. */
 import type {
   BackendView,
   Explain,
@@ -22,13 +22,13 @@
   readonly isDraining: () => boolean;
 }
 
-/** An answer in JSON. */
+/** HTTP status and the body to encode as JSON. */
 export interface AdministrationAnswer {
   readonly status: number;
   readonly body: unknown;
 }
 
-/** Answers `GET` of a path with its query; `null` for an unknown path. */
+/** Answers a `GET` of the URL; `null` for an unknown path. */
 export type Administration = (url: URL) => AdministrationAnswer | null;
 
 /** Creates the read-only administration API of one instance. */
@@ -47,12 +47,14 @@
       startedAt,
       note,
       phase: note === 0 ? "none" : "recorded",
-      instances: [ownView(note), ...otherViews()],
-      backends: services.flatMap((name) => fleet.ofService(name).map(viewOf)),
+      instances: [thisInstanceView(note), ...otherInstanceViews()],
+      backends: services.flatMap((name) =>
+        fleet.ofService(name).map(backendView),
+      ),
     };
   }
 
-  function ownView(note: number): InstanceView {
+  function thisInstanceView(note: number): InstanceView {
     return {
       id: options.instance,
       failureDomain: options.failureDomain,
@@ -64,8 +66,11 @@
     };
   }
 
-  /** Other instances tell the store that they live, and not what they apply. */
-  function otherViews(): InstanceView[] {
+  /**
+   * Other instances write a heartbeat to the store without the configuration
+   * that they apply, so their `note` is 0.
+   */
+  function otherInstanceViews(): InstanceView[] {
     return options.presence.others().map((other) => ({
       id: other.instance,
       failureDomain: other.failureDomain,
@@ -77,7 +82,7 @@
     }));
   }
 
-  function viewOf(server: BackendServer): BackendView {
+  function backendView(server: BackendServer): BackendView {
     const { id, service, kind, failureDomain, held } = server;
     const isAvoided = fleet.detector.isAvoided(id);
     return {
@@ -96,8 +101,11 @@
     const applied = keeper.applied();
     const subject = { kind: "service" as const, name };
     const number = applied?.version ?? 0;
-    const found = history.lineAbout("service", name);
-    const decidedBy = found && { ...found, reason: "written to the store" };
+    const latestLine = history.lineAbout("service", name);
+    const decidedBy = latestLine && {
+      ...latestLine,
+      reason: "written to the store",
+    };
     const decision = decidedBy ? { decidedBy } : {};
     if (!applied) {
       const message = "no configuration is in force yet";
@@ -110,7 +118,7 @@
       const message = `${routes.length} routes lead to it: ${routes.join(", ")}`;
       return { number, subject, verdict: "answered", ...decision, message };
     }
-    const isWithdrawn = found?.line.startsWith("withdrawn") === true;
+    const isWithdrawn = latestLine?.line.startsWith("withdrawn") === true;
     const verdict = isWithdrawn ? "withdrawn" : "unknown";
     const message = isWithdrawn
       ? "a later configuration left it out"
@@ -121,7 +129,7 @@
   function showNote(number: number): AdministrationAnswer {
     const note = history.find(number);
     if (note) return { status: 200, body: note };
-    return failure(404, `note ${number} is not remembered here`);
+    return errorAnswer(404, `note ${number} is not remembered here`);
   }
 
   return function answer({ pathname, searchParams }) {
@@ -132,14 +140,14 @@
     if (pathname === "/v1/explain") {
       const name = searchParams.get("service");
       if (name) return { status: 200, body: explainService(name) };
-      return failure(400, "name a service: explain SERVICE --service");
+      return errorAnswer(400, "name a service: explain SERVICE --service");
     }
     const number = /^\/v1\/notes\/(\d{1,15})$/.exec(pathname)?.[1];
     return number === undefined ? null : showNote(Number(number));
   };
 }
 
-function failure(status: number, message: string): AdministrationAnswer {
+function errorAnswer(status: number, message: string): AdministrationAnswer {
   const code = status === 404 ? "unknown_note" : "bad_request";
   const requestId = crypto.randomUUID();
   const error: FailureBody["error"] = {
--- a/packages/gateway/src/operators/control_listener.ts
+++ b/packages/gateway/src/operators/control_listener.ts
@@ -1,21 +1,21 @@
-/** Answers the balancer's questions, and serves metrics. */
+/** HTTP servers for the load balancer's readiness checks and for operators. */
 import { createServer, type Server } from "node:http";
 import type { Registry } from "prom-client";
 import type { Administration } from "./administration.ts";
 
-/** Tells whether new connections may come; any other path is unknown. */
+/** Answers `path` with 200 if ready, else 503; other paths with 404. */
 export function createReadinessServer(options: {
   readonly path: string;
   readonly isReady: () => boolean;
 }): Server {
   return createServer((request, response) => {
-    const isKnown = request.url === options.path;
-    response.writeHead(isKnown ? (options.isReady() ? 200 : 503) : 404);
+    const isReadinessPath = request.url === options.path;
+    response.writeHead(isReadinessPath ? (options.isReady() ? 200 : 503) : 404);
     response.end();
   });
 }
 
-/** Serves the metrics as text at `/metrics`, and the administration API. */
+/** Serves metrics as text at `/metrics`, and the administration API. */
 export function createOperatorsServer(
   registry: Registry,
   administration: Administration,
@@ -28,8 +28,8 @@
       response.writeHead(200, headers).end(text);
       return;
     }
-    const isAsked = url !== null && request.method === "GET";
-    const answer = isAsked ? administration(url) : null;
+    const isGetRequest = url !== null && request.method === "GET";
+    const answer = isGetRequest ? administration(url) : null;
     if (!answer) {
       response.writeHead(404).end();
       return;
@@ -39,7 +39,7 @@
   });
 }
 
-/** `null` for what is no path; an error here would end the process. */
+/** Returns `null` for an invalid path; an exception would end the process. */
 function parseUrl(path: string): URL | null {
   const base = "http://instance";
   return URL.canParse(path, base) ? new URL(path, base) : null;
--- a/packages/gateway/src/operators/gateway_metrics.ts
+++ b/packages/gateway/src/operators/gateway_metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and histograms of one gateway. */
+/** Prometheus metrics of one gateway. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 import type { CallEnd, CallerCall } from "../callers/mod.ts";
 
@@ -18,7 +18,7 @@
   readonly serverListAgeSeconds: () => number;
 }
 
-/** Creates the metrics in a registry of their own. */
+/** Creates the metrics in a new registry. */
 export function createGatewayMetrics(gauges: GatewayGauges): GatewayMetrics {
   const registry = new Registry();
   const registers = [registry];
--- a/packages/gateway/src/operators/mod.ts
+++ b/packages/gateway/src/operators/mod.ts
@@ -1,4 +1,4 @@
-/** What operators see. */
+/** Metrics, readiness and the administration API for operators. */
 export * from "./administration.ts";
 export * from "./control_listener.ts";
 export * from "./gateway_metrics.ts";
--- a/packages/gateway/src/operators/release_history.ts
+++ b/packages/gateway/src/operators/release_history.ts
@@ -1,33 +1,36 @@
 /**
- * Tells the configurations that came into force as release notes: what each
- * added, changed and withdrew against the one before.
+ * History of applied configurations as release notes: what each one added,
+ * changed and withdrew compared with its predecessor.
  */
 import type { ShownNote } from "@rosemarypin/schemas";
 import type { Configuration, Organisation } from "../configuration.ts";
 
-/** Notes that are kept; older ones stand in the logs only. */
-const MOST_NOTES = 32;
-/** Lines that are kept of one part of a note. */
-const MOST_LINES = 100;
+/** Notes that are kept in memory; older ones are only in the logs. */
+const MAX_NOTES = 32;
+/** Lines that are kept of each part (added, changed, withdrawn) of a note. */
+const MAX_LINES_PER_PART = 100;
 
-/** A line of a note, such as one route with what changed of it. */
+/** A line of a note, such as a route with its changed attributes. */
 export type NoteLine = ShownNote["note"]["added"][number];
 
-/** One thing of a configuration, as notes tell of it. */
-interface Item {
+/** A part of a configuration that notes describe. */
+interface ConfigurationItem {
   readonly kind: "route" | "service" | "organisation" | "limits";
   readonly name: string;
-  /** What a note tells of it, and by which it counts as changed. */
+  /** Attributes that a note shows; a difference in one counts as a change. */
   readonly facts: Readonly<Record<string, string | number | boolean>>;
 }
 
 export interface ReleaseHistory {
-  /** Takes in a configuration that has come into force. */
+  /** Adds a note for a configuration that has come into force. */
   record(configuration: Configuration): void;
-  /** The newest first. */
+  /** All kept notes, newest first. */
   notes(): readonly ShownNote[];
   find(number: number): ShownNote | null;
-  /** The latest line about a thing, with its place in its note. */
+  /**
+   * The latest line about an item, as the number of its note and its position
+   * there, such as `changed[2]`.
+   */
   lineAbout(
     kind: string,
     name: string,
@@ -37,21 +40,21 @@
 /** Creates the history of one instance. */
 export function createReleaseHistory(instance: string): ReleaseHistory {
   let notes: readonly ShownNote[] = [];
-  let last: ReadonlyMap<string, Item> = new Map();
+  let lastItems: ReadonlyMap<string, ConfigurationItem> = new Map();
 
   return {
     record(configuration) {
       const items = itemsOf(configuration);
-      const note = compare(last, items);
+      const note = compareItems(lastItems, items);
       const supersedes = notes[0]?.number ?? 0;
-      last = items;
+      lastItems = items;
       const record: ShownNote = {
         number: configuration.version,
         recordedAt: Date.now(),
         recordedBy: instance,
         note: { supersedes, reason: "written to the store", ...note },
       };
-      notes = [record, ...notes].slice(0, MOST_NOTES);
+      notes = [record, ...notes].slice(0, MAX_NOTES);
     },
     notes: () => notes,
     find: (number) => notes.find((note) => note.number === number) ?? null,
@@ -69,18 +72,18 @@
   };
 }
 
-function compare(
-  before: ReadonlyMap<string, Item>,
-  after: ReadonlyMap<string, Item>,
+function compareItems(
+  before: ReadonlyMap<string, ConfigurationItem>,
+  after: ReadonlyMap<string, ConfigurationItem>,
 ): Pick<ShownNote["note"], "added" | "changed" | "withdrawn"> {
   const added: NoteLine[] = [];
   const changed: NoteLine[] = [];
   const withdrawn: NoteLine[] = [];
   for (const [key, item] of after) {
-    const old = before.get(key);
-    if (!old) added.push(lineOf(item, item.facts));
+    const previous = before.get(key);
+    if (!previous) added.push(lineOf(item, item.facts));
     else {
-      const changes = changesOf(old, item);
+      const changes = changesOf(previous, item);
       if (Object.keys(changes).length > 0) changed.push(lineOf(item, changes));
     }
   }
@@ -88,35 +91,46 @@
     if (!after.has(key)) withdrawn.push(lineOf(item, {}));
   }
   return {
-    added: bounded(added),
-    changed: bounded(changed),
-    withdrawn: bounded(withdrawn),
+    added: truncateLines(added),
+    changed: truncateLines(changed),
+    withdrawn: truncateLines(withdrawn),
   };
 }
 
-function lineOf({ kind, name }: Item, facts: Item["facts"]): NoteLine {
+function lineOf(
+  { kind, name }: ConfigurationItem,
+  facts: ConfigurationItem["facts"],
+): NoteLine {
   return { kind, name, ...facts };
 }
 
-/** Facts that differ, as `before -> after`. */
-function changesOf(old: Item, item: Item): Record<string, string> {
+/** Attributes that differ, each as `before -> after`. */
+function changesOf(
+  previous: ConfigurationItem,
+  item: ConfigurationItem,
+): Record<string, string> {
   const changes: Record<string, string> = {};
   for (const [fact, value] of Object.entries(item.facts)) {
-    const before = old.facts[fact];
+    const before = previous.facts[fact];
     if (before !== value) changes[fact] = `${before} -> ${value}`;
   }
   return changes;
 }
 
-function bounded(lines: readonly NoteLine[]): NoteLine[] {
-  const left = lines.length - MOST_LINES;
-  if (left <= 0) return [...lines];
-  return [...lines.slice(0, MOST_LINES), { kind: "more", lines: left }];
+function truncateLines(lines: readonly NoteLine[]): NoteLine[] {
+  const omittedCount = lines.length - MAX_LINES_PER_PART;
+  if (omittedCount <= 0) return [...lines];
+  return [
+    ...lines.slice(0, MAX_LINES_PER_PART),
+    { kind: "more", lines: omittedCount },
+  ];
 }
 
-function itemsOf(configuration: Configuration): ReadonlyMap<string, Item> {
+function itemsOf(
+  configuration: Configuration,
+): ReadonlyMap<string, ConfigurationItem> {
   const { routes, services, limits, organisations } = configuration;
-  const items: Item[] = [
+  const items: ConfigurationItem[] = [
     ...routes.map((route) => ({
       kind: "route" as const,
       name: route.name,
@@ -144,14 +158,14 @@
   return new Map(items.map((item) => [`${item.kind} ${item.name}`, item]));
 }
 
-/** Keys are secrets: a note tells how many an organisation has. */
+/** Keys are secrets, so a note shows only their number. */
 function organisationItems(
   organisations: ReadonlyMap<string, Organisation> | null,
-): Item[] {
+): ConfigurationItem[] {
   const keys = new Map<string, { count: number; priority: number | null }>();
   for (const { name, priority } of organisations?.values() ?? []) {
-    const known = keys.get(name);
-    if (known) known.count += 1;
+    const entry = keys.get(name);
+    if (entry) entry.count += 1;
     else keys.set(name, { count: 1, priority });
   }
   return [...keys].map(([name, { count, priority }]) => ({
--- a/packages/gateway/src/placement/mod.ts
+++ b/packages/gateway/src/placement/mod.ts
@@ -1,3 +1,3 @@
-/** Orders engines to hold layers. */
-export * from "./ordering_right.ts";
+/** Assigns model layers to engines. */
+export * from "./placement_leases.ts";
 export * from "./placement_loop.ts";
--- /dev/null
+++ b/packages/gateway/src/placement/placement_leases.ts
@@ -0,0 +1,100 @@
+/**
+ * Leases that decide which instance may send layer orders to the engines of a
+ * failure domain.
+ */
+import { type ControlLease, createControlLease } from "@rosemarypin/placement";
+import type { ObjectStore } from "@rosemarypin/store";
+import type { Presence } from "../following/mod.ts";
+
+/**
+ * Duration of a store outage after which an instance may order the engines of
+ * its own domain without a lease. Leases can't be renewed or acquired during
+ * an outage, so if the holder has stopped, layers of lost engines would stay
+ * unserved until the store recovers. Each order carries the order count that
+ * it expects, so of two concurrent orders the engine refuses one.
+ */
+const STORE_OUTAGE_FALLBACK_MS = 500;
+/**
+ * Instances that compete for one lease. Each candidate reads the lease every
+ * two seconds, so a fixed number of candidates keeps the load on the store
+ * independent of the number of instances.
+ */
+const CANDIDATES_PER_LEASE = 2;
+/**
+ * Shorter than the default of control leases: a domain may have a single
+ * instance, and layers of its lost engines are not placed while its lease has
+ * no holder.
+ */
+const LEASE_TIMES = { durationMs: 4_000, stepEveryMs: 2_000 };
+/**
+ * Time after the start before an instance may acquire the lease of another
+ * domain, which it does only while that domain has no live instance.
+ */
+const FOREIGN_TAKEOVER_DELAY_MS = 3_000;
+
+export interface PlacementLeases {
+  /**
+   * Fencing number for orders to the domain's engines, or `null` while this
+   * instance may not send any.
+   */
+  forDomain(failureDomain: string): number | null;
+  /** Releases all leases. */
+  release(): Promise<void>;
+}
+
+/** Creates the leases; each is requested from the first `forDomain` call on. */
+export function createOrderingRight(options: {
+  readonly store: ObjectStore;
+  readonly instance: string;
+  readonly failureDomain: string;
+  readonly presence: Presence;
+  /** Milliseconds since store calls began to fail; 0 while they succeed. */
+  readonly storeAwayMs: () => number;
+}): PlacementLeases {
+  const startedAt = performance.now();
+  /** Latest fencing number that this instance held, by domain. */
+  const lastFencingNumbers = new Map<string, number>();
+  const leases = new Map<string, ControlLease>();
+
+  function isCandidateFor(domain: string): boolean {
+    const { failureDomain, presence } = options;
+    if (domain === failureDomain)
+      return presence.ahead(domain) < CANDIDATES_PER_LEASE;
+    const hasJustStarted =
+      performance.now() - startedAt < FOREIGN_TAKEOVER_DELAY_MS;
+    if (hasJustStarted || presence.hasOther(domain)) return false;
+    return presence.ahead(null) < CANDIDATES_PER_LEASE;
+  }
+
+  function leaseFor(domain: string): ControlLease {
+    const existing = leases.get(domain);
+    if (existing) return existing;
+    const lease = createControlLease({
+      deployment: "engines",
+      failureDomain: domain,
+      holder: options.instance,
+      incarnation: Date.now(),
+      store: options.store,
+      isCandidate: () => isCandidateFor(domain),
+      times: LEASE_TIMES,
+    });
+    leases.set(domain, lease);
+    return lease;
+  }
+
+  return {
+    forDomain(domain) {
+      const held = leaseFor(domain).held();
+      if (held) lastFencingNumbers.set(domain, held.fencingNumber);
+      if (held) return held.fencingNumber;
+      const isOwnDomain = domain === options.failureDomain;
+      const isStoreDown = options.storeAwayMs() > STORE_OUTAGE_FALLBACK_MS;
+      return isOwnDomain && isStoreDown
+        ? (lastFencingNumbers.get(domain) ?? 0)
+        : null;
+    },
+    async release() {
+      await Promise.all([...leases.values()].map((lease) => lease.release()));
+    },
+  };
+}
--- a/packages/gateway/src/placement/ordering_right_test.ts
+++ b/packages/gateway/src/placement/placement_leases_test.ts
@@ -1,7 +1,7 @@
 import { createMemoryStore } from "@rosemarypin/fakes";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { startPresence } from "../following/mod.ts";
-import { createOrderingRight } from "./ordering_right.ts";
+import { createOrderingRight } from "./placement_leases.ts";
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -10,7 +10,7 @@
   vi.useRealTimers();
 });
 
-/** Instances of three failure domains; the second alone in its domain. */
+/** Three instances, each the only one of its failure domain. */
 function setUp() {
   const memory = createMemoryStore();
   const start = (instance: string, failureDomain: string) => {
@@ -39,11 +39,11 @@
 
 type Instances = ReturnType<typeof setUp>;
 
-/** Milliseconds until one of the others holds the right for domain b. */
-async function untilTaken([first, , third]: Instances): Promise<number> {
-  for (let passed = 0; passed < 30_000; passed += 50) {
+/** Milliseconds until another instance holds the lease of domain b. */
+async function msUntilTakenOver([first, , third]: Instances): Promise<number> {
+  for (let elapsedMs = 0; elapsedMs < 30_000; elapsedMs += 50) {
     const held = [...first.look(), ...third.look()];
-    if (held.includes("b")) return passed;
+    if (held.includes("b")) return elapsedMs;
     await vi.advanceTimersByTimeAsync(50);
   }
   return Number.POSITIVE_INFINITY;
@@ -57,35 +57,35 @@
   expect(instances.map(({ look }) => look())).toEqual([["a"], ["b"], ["c"]]);
 }
 
-describe("the right to order a domain's engines", () => {
-  it("passes on soon when the only instance there stops", async () => {
-    // The one instance of a domain is stopped for an update and comes back
-    // after 8 seconds. Engines of the domain that crash meanwhile kept their
-    // layers unserved until then, as nobody else took the right.
+describe("placement leases", () => {
+  it("are taken over within 2.5 s when a domain's only instance stops", async () => {
+    // The only instance of a domain stops for an update and restarts 8 s later.
+    // If no other instance took over its lease, layers of engines that crash
+    // in between would stay unserved until the restart.
     const instances = setUp();
     await settle(instances);
     const [, stopping] = instances;
     void stopping.presence.leave();
     void stopping.right.release();
-    expect(await untilTaken(instances)).toBeLessThanOrEqual(2_500);
+    expect(await msUntilTakenOver(instances)).toBeLessThanOrEqual(2_500);
   });
 
-  it("passes on when the only instance there dies", async () => {
-    // Its machine is lost for good, and another takes its place after seconds.
+  it("are taken over within 12 s when a domain's only instance crashes", async () => {
+    // The instance's machine is lost, so the lease expires without a release.
     const instances = setUp();
     await settle(instances);
     const [, dead] = instances;
-    // Nothing that it writes reaches the store any more.
+    // From here on, none of its writes reach the store.
     dead.faults.down = true;
-    expect(await untilTaken(instances)).toBeLessThanOrEqual(12_000);
+    expect(await msUntilTakenOver(instances)).toBeLessThanOrEqual(12_000);
   });
 });
 
-describe("an instance that the store turns away", () => {
-  it("counts among the users of its domain's engines for 10 s", async () => {
-    // The store refuses one instance for 8 seconds; it goes on to serve. The
-    // others took it for gone after 5, its domain's engines for idle, and sent
-    // them their own answers on top of its.
+describe("presence of an instance whose store calls fail", () => {
+  it("keeps it among the users of its domain's engines for 10 s", async () => {
+    // The store refuses one instance for 8 s while it continues to serve. If
+    // the others removed it after 5 s, they would take its domain's engines
+    // for idle and overload them with their own answers.
     const instances = setUp();
     await settle(instances);
     const [first, refused] = instances;
--- a/packages/gateway/src/placement/placement_loop.ts
+++ b/packages/gateway/src/placement/placement_loop.ts
@@ -1,4 +1,4 @@
-/** Orders engines to hold the layers that the plan gives them. */
+/** Plans which engine holds which layers and sends the layer orders. */
 import {
   createLayerPlanner,
   type LayerOrder,
@@ -15,19 +15,22 @@
 import type { EngineCalls } from "../protocol.ts";
 
 /**
- * How often the plan is looked at when nothing wakes the loop: the right to
- * order may have come.
+ * Planning interval without changes in the fleet. A lease may have been
+ * acquired meanwhile, which does not wake the loop.
  */
-const LOOK_EVERY_MS = 1_000;
-/** Changes that come together are planned together. */
-const GATHER_MS = 30;
-/** At the start engines appear one by one; planning waits for the rest. */
-const SETTLE_MS = 400;
+const REPLAN_EVERY_MS = 1_000;
+/** Delay after a change, so that changes close together share one plan. */
+const BATCHING_DELAY_MS = 30;
+/**
+ * While no engine holds layers, planning waits for this time without a change:
+ * at the start, engines appear one by one.
+ */
+const STARTUP_SETTLE_MS = 400;
 const ORDER_TIMEOUT_MS = 1_000;
 const REPORT_TIMEOUT_MS = 300;
-/** Reports of engines with an order in progress are read this often. */
-const FOLLOW_EVERY_MS = 250;
-/** An order without an effect for so long is taken as lost. */
+/** Interval at which engines with a pending order are polled. */
+const ORDER_POLL_EVERY_MS = 250;
+/** Age at which an order without effect counts as lost. */
 const ORDER_LOST_AFTER_MS = 4_000;
 
 const log = createLogger("placement");
@@ -37,88 +40,94 @@
   readonly fleet: BackendFleet;
   readonly engines: EngineCalls;
   readonly signal: AbortSignal;
-  /** Fencing number of the right to order in a domain; `null` without it. */
+  /** Fencing number for orders in a domain; `null` if none may be sent. */
   readonly rightFor: (failureDomain: string) => number | null;
 }
 
-interface Pending {
-  /** `null` where another instance ordered what we don't know. */
+interface PendingOrder {
+  /** `null` if another instance sent the order. */
   readonly range: LayerRange | null;
   readonly startedAt: number;
   readonly orderedAt: number;
-  /** The order count that the engine had. */
+  /** Order count of the engine before the order. */
   readonly expected: number;
-  /** Whether the engine has said that it began. */
+  /** Whether the engine has accepted the order. */
   acknowledged: boolean;
 }
 
-/** Starts the loop; it ends with the signal. */
+/** Starts the planning loop, which runs until the signal aborts. */
 export function startPlacement(options: PlacementOptions): void {
   const { keeper, fleet, engines, signal } = options;
-  const pending = new Map<string, Pending>();
+  const pending = new Map<string, PendingOrder>();
   const planners = new Map<string, LayerPlanner>();
-  const change = createAlarm();
+  const changeAlarm = createAlarm();
   let changedAt = performance.now();
   fleet.onChanged(() => {
     changedAt = performance.now();
-    change.ring();
+    changeAlarm.ring();
   });
   void run();
 
   async function run(): Promise<void> {
-    let lookedAt = performance.now();
+    let planStartedAt = performance.now();
     while (!signal.aborted) {
-      await nextLook(lookedAt);
-      lookedAt = performance.now();
+      await waitForNextPlan(planStartedAt);
+      planStartedAt = performance.now();
       for (const service of keeper.applied()?.services.values() ?? []) {
         if (service.engine) await placeService(service);
       }
     }
   }
 
-  /** Does not wait for what changed while orders were on their way. */
-  async function nextLook(lookedAt: number): Promise<void> {
-    const everyMs = pending.size > 0 ? FOLLOW_EVERY_MS : LOOK_EVERY_MS;
-    if (changedAt <= lookedAt) await change.wait(everyMs, signal);
-    if (changedAt > lookedAt) await pause(GATHER_MS, signal);
+  /**
+   * Waits for a change in the fleet or the next planning interval. Changes
+   * since the last plan began, while its orders were sent, are planned at once.
+   */
+  async function waitForNextPlan(planStartedAt: number): Promise<void> {
+    const everyMs = pending.size > 0 ? ORDER_POLL_EVERY_MS : REPLAN_EVERY_MS;
+    if (changedAt <= planStartedAt) await changeAlarm.wait(everyMs, signal);
+    if (changedAt > planStartedAt) await pause(BATCHING_DELAY_MS, signal);
   }
 
   async function placeService(service: Service): Promise<void> {
     const { engine } = service;
     if (!engine) return;
-    await followOrders();
+    await pollOrders();
     const servers = fleet.ofService(service.name);
-    const holdsNothing = servers.every(({ held }) => held === null);
-    if (holdsNothing && performance.now() - changedAt < SETTLE_MS) return;
+    const noneHoldsLayers = servers.every(({ held }) => held === null);
+    if (noneHoldsLayers && performance.now() - changedAt < STARTUP_SETTLE_MS)
+      return;
     const usable = servers.filter(
       ({ id, leaving }) => !leaving && !fleet.detector.isGone(id),
     );
-    const sure = usable.filter(({ id }) => !fleet.detector.isSuspected(id));
-    const orders = plan(sure, { service: service.name, engine });
-    // While it is not certain that an engine is gone, others keep what they
-    // hold; one that holds nothing loses nothing by loading in vain.
-    const isCertain = sure.length === usable.length;
-    const given = isCertain
+    const unsuspected = usable.filter(
+      ({ id }) => !fleet.detector.isSuspected(id),
+    );
+    const orders = planOrders(unsuspected, { service: service.name, engine });
+    // A suspected engine may recover, so engines that hold layers keep them
+    // until it counts as dead. An engine without layers may load them already.
+    const noneSuspected = unsuspected.length === usable.length;
+    const allowedOrders = noneSuspected
       ? orders
       : orders.filter(({ engineId }) => fleet.get(engineId)?.held === null);
-    await Promise.all(given.map((order) => place(order)));
+    await Promise.all(allowedOrders.map((order) => place(order)));
   }
 
-  function plan(
+  function planOrders(
     servers: readonly BackendServer[],
     {
       service,
       engine,
     }: { readonly service: string; readonly engine: EngineShape },
   ): readonly LayerOrder[] {
-    const planned = servers.flatMap((server) => {
+    const plannedEngines = servers.flatMap((server) => {
       const kind = engine.kinds.get(server.kind ?? "");
       return kind ? [plannedEngine(server, kind)] : [];
     });
-    if (!planned.some(({ orderable }) => orderable)) return [];
+    if (!plannedEngines.some(({ orderable }) => orderable)) return [];
     const planner = planners.get(service) ?? createLayerPlanner();
     planners.set(service, planner);
-    return planner(planned, engine.model);
+    return planner(plannedEngines, engine.model);
   }
 
   function plannedEngine(
@@ -143,12 +152,12 @@
   }
 
   async function place({ engineId, range }: LayerOrder): Promise<void> {
-    if (fleet.get(engineId)?.orderCount === null) await refresh(engineId);
+    if (fleet.get(engineId)?.orderCount === null) await refreshReport(engineId);
     const server = fleet.get(engineId);
     if (!server || server.orderCount === null || pending.has(engineId)) return;
     const fencingNumber = options.rightFor(server.failureDomain);
     if (fencingNumber === null) return;
-    const order: Pending = {
+    const order: PendingOrder = {
       range,
       startedAt: server.startedAt,
       orderedAt: performance.now(),
@@ -174,18 +183,18 @@
     });
     order.acknowledged = answer.kind === "accepted";
     if (answer.kind === "accepted" || answer.kind === "unknown") return;
-    // What it holds now decides about the next plan.
+    // The engine refused the order; the next plan needs its current state.
     pending.delete(engineId);
     if (answer.kind === "replaced") return fleet.replaced(engineId);
-    await refresh(engineId);
+    await refreshReport(engineId);
   }
 
-  /** Looks after orders in progress: what engines report decides. */
-  async function followOrders(): Promise<void> {
-    await Promise.all([...pending.keys()].map((id) => follow(id)));
+  /** Polls engines with pending orders and drops the orders that ended. */
+  async function pollOrders(): Promise<void> {
+    await Promise.all([...pending.keys()].map((id) => pollOrder(id)));
   }
 
-  async function follow(id: string): Promise<void> {
+  async function pollOrder(id: string): Promise<void> {
     const order = pending.get(id);
     const server = fleet.get(id);
     if (!order || !server || server.startedAt !== order.startedAt) {
@@ -194,7 +203,7 @@
     }
     const report = await engines.report(server.address, REPORT_TIMEOUT_MS);
     if (!report) {
-      if (isLost(order)) pending.delete(id);
+      if (isOverdue(order)) pending.delete(id);
       return;
     }
     fleet.putReport(id, report);
@@ -203,9 +212,9 @@
       if (!report.busy) pending.delete(id);
       return;
     }
-    const isThere =
+    const holdsRange =
       report.held?.from === range.from && report.held.to === range.to;
-    if (isThere && !report.busy) {
+    if (holdsRange && !report.busy) {
       pending.delete(id);
       log.info("layers_held", {
         id,
@@ -215,24 +224,24 @@
       });
       return;
     }
-    // An order without an answer may still be carried out, seconds later. It
-    // names the count that it was meant for, so that it then finds the engine
-    // changed by the one that is sent in its place, and is refused.
-    const notBegun =
+    // An order without an answer may still arrive seconds later. The order sent
+    // in its place changes the engine's order count, so that the engine then
+    // refuses the late one.
+    const hasNotBegun =
       !order.acknowledged && report.orderCount === order.expected;
-    if (!report.busy && (notBegun || isLost(order))) {
+    if (!report.busy && (hasNotBegun || isOverdue(order))) {
       pending.delete(id);
       log.warn("order_lost", { id, from: range.from, to: range.to });
     }
   }
 
-  async function refresh(id: string): Promise<void> {
+  async function refreshReport(id: string): Promise<void> {
     const server = fleet.get(id);
     if (!server) return;
     const report = await engines.report(server.address, REPORT_TIMEOUT_MS);
     if (!report) return fleet.detector.away(id, "silent");
     fleet.putReport(id, report);
-    // Ordered anew in the middle of a load, an engine drops what it loads.
+    // A new order would make a loading engine drop what it has loaded so far.
     if (report.busy && !pending.has(id)) {
       pending.set(id, {
         range: null,
@@ -245,6 +254,6 @@
   }
 }
 
-function isLost({ orderedAt }: Pending): boolean {
+function isOverdue({ orderedAt }: PendingOrder): boolean {
   return performance.now() - orderedAt > ORDER_LOST_AFTER_MS;
 }
--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -44,10 +44,10 @@
   orderCount: null,
 } as unknown as BackendServer;
 
-/** One engine, and an instance that may order it. */
+/** Starts the placement loop with a fake engine and all leases held. */
 function setUp() {
-  const ending = new AbortController();
-  const { signal } = ending;
+  const controller = new AbortController();
+  const { signal } = controller;
   const report = { startedAt: 1, orderCount: 3, busy: false, held: null };
   const orders: PlaceOrder[] = [];
   let orderMs = 0;
@@ -73,12 +73,12 @@
     orderTakes(ms: number) {
       orderMs = ms;
     },
-    end: () => ending.abort(),
+    end: () => controller.abort(),
   };
 }
 
-describe("the placement of layers", () => {
-  it("orders an engine that holds nothing, once", async () => {
+describe("placement loop", () => {
+  it("sends one order to an engine without layers", async () => {
     const { fleet, orders, end } = setUp();
     fleet.put(ENGINE);
     await vi.advanceTimersByTimeAsync(2_000);
@@ -86,8 +86,8 @@
     end();
   });
 
-  // Guards against a new holder of the right that undoes a load in progress.
-  it("leaves an engine alone that carries out another's order", async () => {
+  // Guards against a new lease holder that aborts a load in progress.
+  it("sends no order to an engine that executes another instance's order", async () => {
     const { fleet, report, orders, end } = setUp();
     report.busy = true;
     fleet.put(ENGINE);
@@ -99,8 +99,8 @@
     end();
   });
 
-  // Guards against layers that stay missing for another second.
-  it("plans at once what changed while an order was on its way", async () => {
+  // Guards against missing layers that wait for the next planning interval.
+  it("replans at once after a change while an order was being sent", async () => {
     const { fleet, orders, orderTakes, end } = setUp();
     const half = { ...ENGINE, kind: "half" };
     fleet.put({ ...half, id: "e-0", held: { from: 4, to: 6 } });
@@ -118,8 +118,8 @@
     end();
   });
 
-  // Guards against orders that are refused ten times a second.
-  it("waits for the end of a load that it learns of by a conflict", async () => {
+  // Guards against repeated orders, each refused with a conflict.
+  it("waits for the end of a load after an order is refused as busy", async () => {
     const { fleet, report, orders, end } = setUp();
     fleet.put({ ...ENGINE, orderCount: 3 });
     report.busy = true;
--- a/packages/gateway/src/plain/forward_plain.ts
+++ b/packages/gateway/src/plain/forward_plain.ts
@@ -1,4 +1,4 @@
-/** Forwards requests of plain services: whole answers, at most some repeats. */
+/** Forwards requests of plain services, with a bounded number of retries. */
 import { createLogger } from "@rosemarypin/telemetry";
 import type { BackendServer } from "../backend_server.ts";
 import { awayReason, type OpenAnswer } from "../backends/mod.ts";
@@ -17,10 +17,10 @@
 } from "../forwarding/mod.ts";
 import type { RequestCodec } from "../protocol.ts";
 import type { ServerChoice } from "./server_choice.ts";
-import { tryTimeMs } from "./try_time.ts";
+import { tryTimeoutMs } from "./try_timeout.ts";
 
-/** Servers that may refuse a request before it is refused to the caller. */
-const MOST_REFUSALS = 3;
+/** Servers that may refuse a request before the caller gets a refusal. */
+const MAX_REFUSALS = 3;
 const SERVER_ERROR = 500;
 
 const log = createLogger("calls");
@@ -38,50 +38,57 @@
   | { readonly kind: "not_run"; readonly detail: string }
   | { readonly kind: "unknown"; readonly detail: string };
 
-/** Forwards a call until it has an answer, or nobody may answer it. */
+/**
+ * Forwards a call to one server after another until one answers, no server or
+ * retry is left, or the call is aborted.
+ */
 export async function forwardPlain(
   call: CallerCall,
   parts: ForwardParts,
 ): Promise<CallEnd> {
   const { codec, budget, choice } = parts;
-  const mayRepeat = call.route.kind === "idempotent";
-  const avoided = new Set<string>();
+  const isRetryable = call.route.kind === "idempotent";
+  const triedIds = new Set<string>();
   let attempts = 0;
-  let runs = 0;
-  let last: Attempt = { kind: "not_run", detail: "no_server" };
+  let possibleRuns = 0;
+  let lastAttempt: Attempt = { kind: "not_run", detail: "no_server" };
   while (!call.signal.aborted) {
-    const server = choice.choose(call.service.name, avoided);
+    const server = choice.choose(call.service.name, triedIds);
     if (!server) break;
     if (attempts > 0 && !budget.take(call.service.name)) break;
     attempts += 1;
-    avoided.add(server.id);
-    const isLast = !mayRepeat || runs + 1 >= call.route.maxAttempts;
-    last = await attemptOnce(call, server, {
+    triedIds.add(server.id);
+    const isLast = !isRetryable || possibleRuns + 1 >= call.route.maxAttempts;
+    lastAttempt = await attemptOnce(call, server, {
       ...parts,
-      longestMs: isLast ? null : tryMs(call),
+      longestMs: isLast ? null : tryTimeoutOf(call),
     });
-    if (last.kind === "not_run") {
-      if (attempts - runs > MOST_REFUSALS) break;
+    if (lastAttempt.kind === "not_run") {
+      if (attempts - possibleRuns > MAX_REFUSALS) break;
       continue;
     }
-    runs += 1;
-    const isFinal = last.kind === "answer" && last.answer.status < SERVER_ERROR;
-    if (isFinal || !mayRepeat || runs >= call.route.maxAttempts) break;
+    possibleRuns += 1;
+    const isFinal =
+      lastAttempt.kind === "answer" && lastAttempt.answer.status < SERVER_ERROR;
+    if (isFinal || !isRetryable || possibleRuns >= call.route.maxAttempts)
+      break;
   }
   if (call.callerLeft()) {
     const reason = "caller_left";
     return { status: 0, outcome: reason, reason, attempts, firstByteMs: null };
   }
-  if (last.kind === "answer") return passOn(call, last, { codec, attempts });
-  // Once it may have run, a later refusal does not say that it did not.
-  const outcome = runs > 0 ? "unknown" : "not_run";
-  const reason = last.detail;
+  if (lastAttempt.kind === "answer")
+    return relayAnswer(call, lastAttempt, { codec, attempts });
+  // If an earlier attempt may have run, a refusal of the last one doesn't
+  // make the whole call safe to retry.
+  const outcome = possibleRuns > 0 ? "unknown" : "not_run";
+  const reason = lastAttempt.detail;
   return endWithRefusal(codec, call, { outcome, reason, attempts });
 }
 
-function tryMs(call: CallerCall): number {
+function tryTimeoutOf(call: CallerCall): number {
   const { objectiveMs } = call.route;
-  return tryTimeMs({ leftMs: timeLeftMs(call), objectiveMs });
+  return tryTimeoutMs({ leftMs: timeLeftMs(call), objectiveMs });
 }
 
 async function attemptOnce(
@@ -158,7 +165,7 @@
   }
 }
 
-function passOn(
+function relayAnswer(
   call: CallerCall,
   { answer, body }: { readonly answer: OpenAnswer; readonly body: Buffer },
   {
--- a/packages/gateway/src/plain/mod.ts
+++ b/packages/gateway/src/plain/mod.ts
@@ -1,3 +1,3 @@
-/** Forwards calls that have one whole answer. */
+/** Forwards requests whose answers are passed on whole, without streaming. */
 export * from "./forward_plain.ts";
 export * from "./server_choice.ts";
--- a/packages/gateway/src/plain/server_choice.ts
+++ b/packages/gateway/src/plain/server_choice.ts
@@ -1,19 +1,23 @@
-/** Chooses among the servers of a plain service. */
+/** Load balancing among the servers of a plain service. */
 
 import type { BackendServer } from "../backend_server.ts";
 import type { BackendFleet } from "../backends/mod.ts";
 
-/** What a server in another failure domain counts as, in calls in progress. */
-const CROSSING_CALLS = 0.5;
-/** Weight of the newest answer in the mean time of a server. */
-const NEWEST_SHARE = 0.2;
-/** Assumed of a server that has not answered yet, in milliseconds. */
-const FIRST_MEAN_MS = 100;
-/** A failed answer counts like one that took so many times the mean. */
-const FAILURE_FACTOR = 6;
+/** Cost of crossing a failure domain, in calls in progress. */
+const CROSS_DOMAIN_CALLS = 0.5;
+/** Weight of the newest answer in a server's moving mean of answer times. */
+const NEWEST_ANSWER_WEIGHT = 0.2;
+/** Assumed answer time of a server that has not answered yet. */
+const INITIAL_MEAN_MS = 100;
+/** A failed answer counts as at least this multiple of the mean time. */
+const FAILURE_COST_FACTOR = 6;
 
 export interface ServerChoice {
-  /** The server that should answer soonest, or `null` when none is usable. */
+  /**
+   * The server with the lowest expected answer time, or `null` when the service
+   * has none but leaving and avoided ones. Servers under suspicion are chosen
+   * only if there is no other.
+   */
   choose(service: string, avoided: ReadonlySet<string>): BackendServer | null;
   began(id: string): void;
   ended(
@@ -22,7 +26,7 @@
   ): void;
 }
 
-/** Creates the choice of one instance. */
+/** Creates the server choice of one instance. */
 export function createServerChoice(options: {
   readonly fleet: BackendFleet;
   readonly failureDomain: string;
@@ -33,19 +37,19 @@
 
   function cost(server: BackendServer): number {
     const calls = inProgress.get(server.id) ?? 0;
-    const crossing =
-      server.failureDomain === failureDomain ? 0 : CROSSING_CALLS;
-    const mean = meanMs.get(server.id) ?? FIRST_MEAN_MS;
-    return (1 + calls + crossing) * mean;
+    const crossDomainCalls =
+      server.failureDomain === failureDomain ? 0 : CROSS_DOMAIN_CALLS;
+    const mean = meanMs.get(server.id) ?? INITIAL_MEAN_MS;
+    return (1 + calls + crossDomainCalls) * mean;
   }
 
   return {
     choose(service, avoided) {
-      const usable = fleet
+      const candidates = fleet
         .ofService(service)
         .filter((server) => !server.leaving && !avoided.has(server.id));
-      const trusted = usable.filter((server) => fleet.isUsable(server));
-      const choices = trusted.length > 0 ? trusted : usable;
+      const healthy = candidates.filter((server) => fleet.isUsable(server));
+      const choices = healthy.length > 0 ? healthy : candidates;
       return choices.sort((a, b) => cost(a) - cost(b))[0] ?? null;
     },
     began(id) {
@@ -55,9 +59,14 @@
       const calls = (inProgress.get(id) ?? 1) - 1;
       if (calls > 0) inProgress.set(id, calls);
       else inProgress.delete(id);
-      const last = meanMs.get(id) ?? FIRST_MEAN_MS;
-      const seen = ok ? tookMs : Math.max(tookMs, last * FAILURE_FACTOR);
-      meanMs.set(id, last + NEWEST_SHARE * (seen - last));
+      const previousMs = meanMs.get(id) ?? INITIAL_MEAN_MS;
+      const sampleMs = ok
+        ? tookMs
+        : Math.max(tookMs, previousMs * FAILURE_COST_FACTOR);
+      meanMs.set(
+        id,
+        previousMs + NEWEST_ANSWER_WEIGHT * (sampleMs - previousMs),
+      );
     },
   };
 }
--- a/packages/gateway/src/plain/server_choice_test.ts
+++ b/packages/gateway/src/plain/server_choice_test.ts
@@ -18,8 +18,8 @@
 
 const none = new Set<string>();
 
-describe("the choice of a server", () => {
-  it("prefers its own domain, and spreads over all as calls add up", () => {
+describe("server choice", () => {
+  it("prefers the local domain and spreads calls as they accumulate", () => {
     const choice = setUp([server("x", "a"), server("y", "b")]);
     const chosen = Array.from({ length: 4 }, () => {
       const { id = "" } = choice.choose("s", none) ?? {};
@@ -29,19 +29,19 @@
     expect(chosen).toEqual(["x", "y", "x", "y"]);
   });
 
-  it("gives a leaving server nothing, even when it is the only one", () => {
+  it("never chooses a leaving server, even if it is the only one", () => {
     const choice = setUp([server("x", "a", true)]);
     expect(choice.choose("s", none)).toBeNull();
   });
 
-  it("goes to a suspected server only when there is no other", () => {
+  it("chooses a suspected server only if there is no other", () => {
     const both = setUp([server("x", "a"), server("y", "b")], ["x"]);
     expect(both.choose("s", none)?.id).toBe("y");
     const alone = setUp([server("x", "a")], ["x"]);
     expect(alone.choose("s", none)?.id).toBe("x");
   });
 
-  it("turns away from a server that fails while its health is good", () => {
+  it("avoids a server whose calls fail fast though it is not suspected", () => {
     const choice = setUp([server("x", "a"), server("y", "b")]);
     for (let call = 0; call < 3; call += 1) {
       choice.began("x");
