--- a/packages/gateway/src/backends/backend_fleet.ts
+++ b/packages/gateway/src/backends/backend_fleet.ts
@@ -102,7 +102,7 @@
   /** Probes all engines of a domain when several stop answering. */
   function probeDomainIfSuspected(id: string): void {
     const domain = servers.get(id)?.failureDomain;
-    if (domain === undefined || !suspicion.silent(domain)) return;
+    if (domain === undefined || !suspicion.recordFailure(domain)) return;
     log.warn("domain_suspected", { domain });
     for (const other of servers.values()) {
       if (other.failureDomain !== domain || detector.isAvoided(other.id))
@@ -170,7 +170,7 @@
       } else {
         servers.set(server.id, server);
         reportedAt.delete(server.id);
-        detector.worked(server.id);
+        detector.reportSuccess(server.id);
       }
       const current = servers.get(server.id);
       // Renewals arrive constantly, and each callback triggers layer planning.
@@ -184,7 +184,7 @@
       servers.delete(id);
       reportedAt.delete(id);
       reportedLoads.delete(id);
-      detector.worked(id);
+      detector.reportSuccess(id);
       log.info("server_gone", { id, address: last.address });
       notifyChanged(id);
     },
--- a/packages/gateway/src/backends/backend_fleet_test.ts
+++ b/packages/gateway/src/backends/backend_fleet_test.ts
@@ -55,7 +55,7 @@
     fleet.detector.away("b1", "silent");
     fleet.detector.away("b2", "silent");
     await vi.advanceTimersByTimeAsync(1_000);
-    const gone = ["b1", "b2", "b3", "b4"].filter(fleet.detector.isGone);
+    const gone = ["b1", "b2", "b3", "b4"].filter(fleet.detector.isDead);
     expect(gone).toEqual(["b1", "b2", "b3", "b4"]);
     end();
   });
--- a/packages/gateway/src/backends/domain_suspicion.ts
+++ b/packages/gateway/src/backends/domain_suspicion.ts
@@ -11,7 +11,7 @@
    * Records that a server stopped answering; returns whether the other servers
    * of its domain should be probed now.
    */
-  silent(failureDomain: string): boolean;
+  recordFailure(failureDomain: string): boolean;
 }
 
 /**
@@ -26,7 +26,7 @@
   const failureTimes = new Map<string, number[]>();
   const probedAt = new Map<string, number>();
   return {
-    silent(failureDomain) {
+    recordFailure(failureDomain) {
       if (failureDomain === ownDomain) return false;
       const now = performance.now();
       const recent = (failureTimes.get(failureDomain) ?? []).filter(
--- a/packages/gateway/src/backends/failure_detector.ts
+++ b/packages/gateway/src/backends/failure_detector.ts
@@ -48,21 +48,21 @@
   /** Records that the server, or a pipeline because of it, refused a request. */
   refused(id: string): void;
   /** Records that the server works or has restarted; ends any suspicion. */
-  worked(id: string): void;
+  reportSuccess(id: string): void;
   /** Whether the server gets no new requests at present. */
   isAvoided(id: string): boolean;
   /** Whether engines without layers may load its layers in advance. */
   isSuspected(id: string): boolean;
   /** Whether the server counts as dead, so that others take its layers. */
-  isGone(id: string): boolean;
+  isDead(id: string): boolean;
 }
 
 interface Suspicion {
   readonly since: number;
-  readonly probed: boolean;
+  readonly isProbed: boolean;
   failures: number;
-  misses: number;
-  until: number;
+  missedProbes: number;
+  avoidedUntil: number;
 }
 
 export interface FailureDetectorOptions {
@@ -109,10 +109,13 @@
         suspicions.delete(id);
         return;
       }
-      suspicion.misses += 1;
+      suspicion.missedProbes += 1;
       onSuspected?.(id);
-      if (suspicion.misses === MISSES_UNTIL_DEAD) {
-        log.warn("server_not_answering", { id, misses: suspicion.misses });
+      if (suspicion.missedProbes === MISSES_UNTIL_DEAD) {
+        log.warn("server_not_answering", {
+          id,
+          misses: suspicion.missedProbes,
+        });
       }
       waitMs = Math.min(LONGEST_PROBE_DELAY_MS, waitMs * 2);
     }
@@ -120,7 +123,7 @@
 
   function startBackoff(suspicion: Suspicion): void {
     const backoffMs = FIRST_BACKOFF_MS * 2 ** (suspicion.failures - 1);
-    suspicion.until =
+    suspicion.avoidedUntil =
       performance.now() + Math.min(LONGEST_BACKOFF_MS, backoffMs);
   }
 
@@ -132,17 +135,17 @@
     const misses = INITIAL_MISSES[reason];
     const suspicion: Suspicion = {
       since: now,
-      probed: true,
+      isProbed: true,
       failures: 1,
-      misses,
-      until: Number.POSITIVE_INFINITY,
+      missedProbes: misses,
+      avoidedUntil: Number.POSITIVE_INFINITY,
     };
     suspicions.set(id, suspicion);
     log.warn("server_suspected", { id, reason });
     if (reason !== "ended") onSilent?.(id);
     if (misses > 0) onSuspected?.(id);
     if ((await probe(id)) === null) {
-      suspicions.set(id, { ...suspicion, probed: false, misses: 0 });
+      suspicions.set(id, { ...suspicion, isProbed: false, missedProbes: 0 });
       const unprobed = suspicions.get(id);
       if (unprobed) startBackoff(unprobed);
       return;
@@ -157,22 +160,22 @@
         void startSuspicion(id, reason);
         return;
       }
-      if (last.probed) {
-        last.misses = Math.max(last.misses, INITIAL_MISSES[reason]);
-        if (last.misses > 0) onSuspected?.(id);
+      if (last.isProbed) {
+        last.missedProbes = Math.max(last.missedProbes, INITIAL_MISSES[reason]);
+        if (last.missedProbes > 0) onSuspected?.(id);
         return;
       }
       // Requests that were sent before the backoff began may still fail.
       const now = performance.now();
-      if (now < last.until) return;
-      const isRecent = now - last.until < RESET_BACKOFF_AFTER_MS;
+      if (now < last.avoidedUntil) return;
+      const isRecent = now - last.avoidedUntil < RESET_BACKOFF_AFTER_MS;
       last.failures = isRecent ? last.failures + 1 : 1;
       startBackoff(last);
     },
     refused(id) {
       refusals.set(id, performance.now() + REFUSAL_COOLDOWN_MS);
     },
-    worked(id) {
+    reportSuccess(id) {
       suspicions.delete(id);
       refusals.delete(id);
     },
@@ -180,16 +183,17 @@
       const now = performance.now();
       if (now < (refusals.get(id) ?? 0)) return true;
       const suspicion = suspicions.get(id);
-      return suspicion !== undefined && now < suspicion.until;
+      return suspicion !== undefined && now < suspicion.avoidedUntil;
     },
     isSuspected(id) {
       const suspicion = suspicions.get(id);
-      return suspicion?.probed === true && suspicion.misses > 0;
+      return suspicion?.isProbed === true && suspicion.missedProbes > 0;
     },
-    isGone(id) {
+    isDead(id) {
       const suspicion = suspicions.get(id);
       return (
-        suspicion?.probed === true && suspicion.misses >= MISSES_UNTIL_DEAD
+        suspicion?.isProbed === true &&
+        suspicion.missedProbes >= MISSES_UNTIL_DEAD
       );
     },
   };
--- a/packages/gateway/src/backends/failure_detector_test.ts
+++ b/packages/gateway/src/backends/failure_detector_test.ts
@@ -42,28 +42,28 @@
     const { detector, probed, end } = setUp(() => false);
     detector.away("e", "silent");
     await vi.advanceTimersByTimeAsync(0);
-    expect(detector.isGone("e")).toBe(false);
+    expect(detector.isDead("e")).toBe(false);
     await vi.advanceTimersByTimeAsync(200);
     expect(probed.length).toBe(2);
-    expect(detector.isGone("e")).toBe(false);
+    expect(detector.isDead("e")).toBe(false);
     await vi.advanceTimersByTimeAsync(400);
-    expect(detector.isGone("e")).toBe(true);
+    expect(detector.isDead("e")).toBe(true);
     end();
   });
 
   it("counts as dead at once when its address refuses connections", () => {
     const { detector, end } = setUp(() => false);
     detector.away("e", "ended");
-    expect(detector.isGone("e")).toBe(true);
+    expect(detector.isDead("e")).toBe(true);
     end();
   });
 
   it("gets requests after a restart", () => {
     const { detector, end } = setUp(() => false);
     detector.away("e", "ended");
-    detector.worked("e");
+    detector.reportSuccess("e");
     expect(detector.isAvoided("e")).toBe(false);
-    expect(detector.isGone("e")).toBe(false);
+    expect(detector.isDead("e")).toBe(false);
     end();
   });
 });
@@ -72,7 +72,7 @@
   const { detector, end } = setUp(() => true);
   detector.refused("e");
   expect(detector.isAvoided("e")).toBe(true);
-  expect(detector.isGone("e")).toBe(false);
+  expect(detector.isDead("e")).toBe(false);
   vi.advanceTimersByTime(300);
   expect(detector.isAvoided("e")).toBe(false);
   end();
@@ -92,6 +92,6 @@
     waits.push(waited);
   }
   expect(waits).toEqual([800, 1_600, 3_200, 6_400, 6_400]);
-  expect(detector.isGone("p")).toBe(false);
+  expect(detector.isDead("p")).toBe(false);
   end();
 });
--- a/packages/gateway/src/operators/administration.ts
+++ b/packages/gateway/src/operators/administration.ts
@@ -101,7 +101,7 @@
     const applied = keeper.applied();
     const subject = { kind: "service" as const, name };
     const number = applied?.version ?? 0;
-    const latestLine = history.lineAbout("service", name);
+    const latestLine = history.latestLine("service", name);
     const decidedBy = latestLine && {
       ...latestLine,
       reason: "written to the store",
--- a/packages/gateway/src/operators/release_history.ts
+++ b/packages/gateway/src/operators/release_history.ts
@@ -18,7 +18,7 @@
   readonly kind: "route" | "service" | "organisation" | "limits";
   readonly name: string;
   /** Attributes that a note shows; a difference in one counts as a change. */
-  readonly facts: Readonly<Record<string, string | number | boolean>>;
+  readonly attributes: Readonly<Record<string, string | number | boolean>>;
 }
 
 export interface ReleaseHistory {
@@ -31,7 +31,7 @@
    * The latest line about an item, as the number of its note and its position
    * there, such as `changed[2]`.
    */
-  lineAbout(
+  latestLine(
     kind: string,
     name: string,
   ): { readonly number: number; readonly line: string } | null;
@@ -58,7 +58,7 @@
     },
     notes: () => notes,
     find: (number) => notes.find((note) => note.number === number) ?? null,
-    lineAbout(kind, name) {
+    latestLine(kind, name) {
       for (const { number, note } of notes) {
         for (const part of ["added", "changed", "withdrawn"] as const) {
           const at = note[part].findIndex(
@@ -81,7 +81,7 @@
   const withdrawn: NoteLine[] = [];
   for (const [key, item] of after) {
     const previous = before.get(key);
-    if (!previous) added.push(lineOf(item, item.facts));
+    if (!previous) added.push(lineOf(item, item.attributes));
     else {
       const changes = changesOf(previous, item);
       if (Object.keys(changes).length > 0) changed.push(lineOf(item, changes));
@@ -99,9 +99,9 @@
 
 function lineOf(
   { kind, name }: ConfigurationItem,
-  facts: ConfigurationItem["facts"],
+  attributes: ConfigurationItem["attributes"],
 ): NoteLine {
-  return { kind, name, ...facts };
+  return { kind, name, ...attributes };
 }
 
 /** Attributes that differ, each as `before -> after`. */
@@ -110,9 +110,9 @@
   item: ConfigurationItem,
 ): Record<string, string> {
   const changes: Record<string, string> = {};
-  for (const [fact, value] of Object.entries(item.facts)) {
-    const before = previous.facts[fact];
-    if (before !== value) changes[fact] = `${before} -> ${value}`;
+  for (const [attribute, value] of Object.entries(item.attributes)) {
+    const before = previous.attributes[attribute];
+    if (before !== value) changes[attribute] = `${before} -> ${value}`;
   }
   return changes;
 }
@@ -134,7 +134,7 @@
     ...routes.map((route) => ({
       kind: "route" as const,
       name: route.name,
-      facts: {
+      attributes: {
         host: route.host,
         path: route.pathPrefix,
         services: route.shares
@@ -150,10 +150,10 @@
     ...[...services.values()].map(({ name, engine }) => ({
       kind: "service" as const,
       name,
-      facts: { model: engine?.model.name ?? "none" },
+      attributes: { model: engine?.model.name ?? "none" },
     })),
     ...organisationItems(organisations),
-    { kind: "limits", name: "callers", facts: { ...limits } },
+    { kind: "limits", name: "callers", attributes: { ...limits } },
   ];
   return new Map(items.map((item) => [`${item.kind} ${item.name}`, item]));
 }
@@ -171,6 +171,6 @@
   return [...keys].map(([name, { count, priority }]) => ({
     kind: "organisation" as const,
     name,
-    facts: { keys: count, priority: priority ?? "of the route" },
+    attributes: { keys: count, priority: priority ?? "of the route" },
   }));
 }
--- a/packages/gateway/src/placement/placement_loop.ts
+++ b/packages/gateway/src/placement/placement_loop.ts
@@ -50,7 +50,7 @@
   readonly startedAt: number;
   readonly orderedAt: number;
   /** Order count of the engine before the order. */
-  readonly expected: number;
+  readonly expectedOrderCount: number;
   /** Whether the engine has accepted the order. */
   acknowledged: boolean;
 }
@@ -98,7 +98,7 @@
     if (noneHoldsLayers && performance.now() - changedAt < STARTUP_SETTLE_MS)
       return;
     const usable = servers.filter(
-      ({ id, leaving }) => !leaving && !fleet.detector.isGone(id),
+      ({ id, leaving }) => !leaving && !fleet.detector.isDead(id),
     );
     const unsuspected = usable.filter(
       ({ id }) => !fleet.detector.isSuspected(id),
@@ -161,7 +161,7 @@
       range,
       startedAt: server.startedAt,
       orderedAt: performance.now(),
-      expected: server.orderCount,
+      expectedOrderCount: server.orderCount,
       acknowledged: false,
     };
     pending.set(engineId, order);
@@ -228,7 +228,7 @@
     // in its place changes the engine's order count, so that the engine then
     // refuses the late one.
     const hasNotBegun =
-      !order.acknowledged && report.orderCount === order.expected;
+      !order.acknowledged && report.orderCount === order.expectedOrderCount;
     if (!report.busy && (hasNotBegun || isOverdue(order))) {
       pending.delete(id);
       log.warn("order_lost", { id, from: range.from, to: range.to });
@@ -247,7 +247,7 @@
         range: null,
         startedAt: server.startedAt,
         orderedAt: performance.now(),
-        expected: report.orderCount,
+        expectedOrderCount: report.orderCount,
         acknowledged: true,
       });
     }
--- a/packages/gateway/src/plain/forward_plain.ts
+++ b/packages/gateway/src/plain/forward_plain.ts
@@ -61,7 +61,7 @@
     const isLast = !isRetryable || possibleRuns + 1 >= call.route.maxAttempts;
     lastAttempt = await attemptOnce(call, server, {
       ...parts,
-      longestMs: isLast ? null : tryTimeoutOf(call),
+      timeoutMs: isLast ? null : tryTimeoutOf(call),
     });
     if (lastAttempt.kind === "not_run") {
       if (attempts - possibleRuns > MAX_REFUSALS) break;
@@ -94,9 +94,9 @@
 async function attemptOnce(
   call: CallerCall,
   server: BackendServer,
-  options: ForwardParts & { readonly longestMs: number | null },
+  options: ForwardParts & { readonly timeoutMs: number | null },
 ): Promise<Attempt> {
-  const { codec, exchange, fleet, choice, longestMs } = options;
+  const { codec, exchange, fleet, choice, timeoutMs } = options;
   const sentAt = performance.now();
   log.info("request_sent", {
     request: call.id,
@@ -104,8 +104,8 @@
     id: server.id,
     left_ms: timeLeftMs(call).toFixed(0),
   });
-  choice.began(server.id);
-  let ok = false;
+  choice.requestStarted(server.id);
+  let succeeded = false;
   try {
     const result = await exchange.send(
       server,
@@ -116,9 +116,9 @@
       }),
       {
         signal:
-          longestMs === null
+          timeoutMs === null
             ? call.signal
-            : AbortSignal.any([call.signal, AbortSignal.timeout(longestMs)]),
+            : AbortSignal.any([call.signal, AbortSignal.timeout(timeoutMs)]),
         freshConnection: call.route.kind !== "idempotent",
       },
     );
@@ -130,11 +130,15 @@
       return { kind: "unknown", detail: result.detail };
     }
     const attempt = await readAnswer(call, result, codec);
-    ok = attempt.kind === "answer" && attempt.answer.status < SERVER_ERROR;
-    if (ok) fleet.detector.worked(server.id);
+    succeeded =
+      attempt.kind === "answer" && attempt.answer.status < SERVER_ERROR;
+    if (succeeded) fleet.detector.reportSuccess(server.id);
     return attempt;
   } finally {
-    choice.ended(server.id, { tookMs: performance.now() - sentAt, ok });
+    choice.requestEnded(server.id, {
+      tookMs: performance.now() - sentAt,
+      succeeded,
+    });
   }
 }
 
--- a/packages/gateway/src/plain/server_choice.ts
+++ b/packages/gateway/src/plain/server_choice.ts
@@ -19,10 +19,10 @@
    * only if there is no other.
    */
   choose(service: string, avoided: ReadonlySet<string>): BackendServer | null;
-  began(id: string): void;
-  ended(
+  requestStarted(id: string): void;
+  requestEnded(
     id: string,
-    end: { readonly tookMs: number; readonly ok: boolean },
+    end: { readonly tookMs: number; readonly succeeded: boolean },
   ): void;
 }
 
@@ -52,15 +52,15 @@
       const choices = healthy.length > 0 ? healthy : candidates;
       return choices.sort((a, b) => cost(a) - cost(b))[0] ?? null;
     },
-    began(id) {
+    requestStarted(id) {
       inProgress.set(id, (inProgress.get(id) ?? 0) + 1);
     },
-    ended(id, { tookMs, ok }) {
+    requestEnded(id, { tookMs, succeeded }) {
       const calls = (inProgress.get(id) ?? 1) - 1;
       if (calls > 0) inProgress.set(id, calls);
       else inProgress.delete(id);
       const previousMs = meanMs.get(id) ?? INITIAL_MEAN_MS;
-      const sampleMs = ok
+      const sampleMs = succeeded
         ? tookMs
         : Math.max(tookMs, previousMs * FAILURE_COST_FACTOR);
       meanMs.set(
--- a/packages/gateway/src/plain/server_choice_test.ts
+++ b/packages/gateway/src/plain/server_choice_test.ts
@@ -23,7 +23,7 @@
     const choice = setUp([server("x", "a"), server("y", "b")]);
     const chosen = Array.from({ length: 4 }, () => {
       const { id = "" } = choice.choose("s", none) ?? {};
-      choice.began(id);
+      choice.requestStarted(id);
       return id;
     });
     expect(chosen).toEqual(["x", "y", "x", "y"]);
@@ -44,8 +44,8 @@
   it("avoids a server whose calls fail fast though it is not suspected", () => {
     const choice = setUp([server("x", "a"), server("y", "b")]);
     for (let call = 0; call < 3; call += 1) {
-      choice.began("x");
-      choice.ended("x", { tookMs: 2, ok: false });
+      choice.requestStarted("x");
+      choice.requestEnded("x", { tookMs: 2, succeeded: false });
     }
     expect(choice.choose("s", none)?.id).toBe("y");
   });
