--- a/packages/gateway/src/backends/backend_fleet.ts
+++ b/packages/gateway/src/backends/backend_fleet.ts
@@ -104,11 +104,11 @@
     const domain = servers.get(id)?.failureDomain;
     if (domain === undefined || !suspicion.recordFailure(domain)) return;
     log.warn("domain_suspected", { domain });
-    for (const other of servers.values()) {
-      if (other.failureDomain !== domain || detector.isAvoided(other.id))
+    for (const sibling of servers.values()) {
+      if (sibling.failureDomain !== domain || detector.isAvoided(sibling.id))
         continue;
-      void probe(other.id).then((works) => {
-        if (works === false) detector.away(other.id, "silent");
+      void probe(sibling.id).then((works) => {
+        if (works === false) detector.away(sibling.id, "silent");
       });
     }
   }
@@ -213,16 +213,16 @@
   return performance.now() - reportedAt < ENTRY_LAG_MS;
 }
 
-/** Whether an entry was written before the known one. */
-function isOlder(entry: BackendServer, known: BackendServer): boolean {
-  if (entry.startedAt !== known.startedAt) {
-    return entry.startedAt < known.startedAt;
+/** Whether an entry was written before the current one. */
+function isOlder(entry: BackendServer, current: BackendServer): boolean {
+  if (entry.startedAt !== current.startedAt) {
+    return entry.startedAt < current.startedAt;
   }
-  return entry.renewal < known.renewal;
+  return entry.renewal < current.renewal;
 }
 
-function isNewer(entry: BackendServer, known: BackendServer): boolean {
-  return entry.startedAt > known.startedAt || entry.renewal > known.renewal;
+function isNewer(entry: BackendServer, current: BackendServer): boolean {
+  return entry.startedAt > current.startedAt || entry.renewal > current.renewal;
 }
 
 function isSameRange(a: LayerRange | null, b: LayerRange | null): boolean {
--- a/packages/gateway/src/backends/backend_fleet_test.ts
+++ b/packages/gateway/src/backends/backend_fleet_test.ts
@@ -27,12 +27,12 @@
 
 /** Fleet of an instance in domain `a`; engines in `cut` don't answer. */
 function setUp(cut: ReadonlySet<string>) {
-  const asked: string[] = [];
+  const probed: string[] = [];
   const controller = new AbortController();
   const report = { held: null, orderCount: 0, startedAt: 1 };
   const engines = {
     report: async (address: string) => {
-      asked.push(address);
+      probed.push(address);
       return cut.has(address) ? null : (report as EngineReport);
     },
   } as unknown as EngineCalls;
@@ -43,7 +43,7 @@
   });
   for (const id of ["a1", "a2", "a3"]) fleet.put(engine(id, "a"));
   for (const id of ["b1", "b2", "b3", "b4"]) fleet.put(engine(id, "b"));
-  return { fleet, asked, end: () => controller.abort() };
+  return { fleet, probed, end: () => controller.abort() };
 }
 
 describe("suspicion of a failure domain", () => {
@@ -55,8 +55,8 @@
     fleet.detector.away("b1", "silent");
     fleet.detector.away("b2", "silent");
     await vi.advanceTimersByTimeAsync(1_000);
-    const gone = ["b1", "b2", "b3", "b4"].filter(fleet.detector.isDead);
-    expect(gone).toEqual(["b1", "b2", "b3", "b4"]);
+    const dead = ["b1", "b2", "b3", "b4"].filter(fleet.detector.isDead);
+    expect(dead).toEqual(["b1", "b2", "b3", "b4"]);
     end();
   });
 
@@ -73,10 +73,10 @@
     ["one engine of another domain", ["b1"]],
     ["engines of the local domain", ["a1", "a2"]],
   ])("is not caused by %s", async (_name, silent) => {
-    const { fleet, asked, end } = setUp(new Set(silent));
+    const { fleet, probed, end } = setUp(new Set(silent));
     for (const id of silent) fleet.detector.away(id, "silent");
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(asked.filter((id) => !silent.includes(id))).toEqual([]);
+    expect(probed.filter((id) => !silent.includes(id))).toEqual([]);
     end();
   });
 });
@@ -102,13 +102,13 @@
     // Forty servers renew their entries every second. If each renewal woke the
     // layer planner, it would plan the whole fleet each time.
     const { fleet, end } = setUp(new Set());
-    const news: string[] = [];
-    fleet.onChanged((id) => news.push(id));
+    const changedIds: string[] = [];
+    fleet.onChanged((id) => changedIds.push(id));
     fleet.put({ ...engine("a1", "a"), renewal: 2 });
-    expect(news).toEqual([]);
+    expect(changedIds).toEqual([]);
     fleet.put({ ...engine("a1", "a"), renewal: 3, held: { from: 0, to: 4 } });
     fleet.put({ ...engine("a1", "a"), renewal: 4, leaving: true });
-    expect(news).toEqual(["a1", "a1"]);
+    expect(changedIds).toEqual(["a1", "a1"]);
     end();
   });
 });
--- a/packages/gateway/src/backends/failure_detector.ts
+++ b/packages/gateway/src/backends/failure_detector.ts
@@ -35,7 +35,7 @@
 
 /** Why a server is suspected. */
 export type SuspicionReason =
-  /** No answer, or no connection within the time limit. */
+  /** No answer, or the connection could not be established. */
   | "silent"
   /** No answer to a probe, and its answers in progress are stalled. */
   | "unresponsive"
--- a/packages/gateway/src/placement/mod.ts
+++ b/packages/gateway/src/placement/mod.ts
@@ -1,3 +1,3 @@
-/** Assigns model layers to engines. */
+/** Orders engines to load the layers that the plan assigns to them. */
 export * from "./placement_leases.ts";
 export * from "./placement_loop.ts";
--- a/packages/gateway/src/placement/placement_leases.ts
+++ b/packages/gateway/src/placement/placement_leases.ts
@@ -42,7 +42,7 @@
   release(): Promise<void>;
 }
 
-/** Creates the leases; each is requested from the first `forDomain` call on. */
+/** Creates the leases; each is requested from its first use on. */
 export function createOrderingRight(options: {
   readonly store: ObjectStore;
   readonly instance: string;
--- a/packages/gateway/src/placement/placement_leases_test.ts
+++ b/packages/gateway/src/placement/placement_leases_test.ts
@@ -31,8 +31,9 @@
       storeAwayMs: () => 0,
     });
     const domains = ["a", "b", "c"];
-    const look = () => domains.filter((name) => right.forDomain(name) !== null);
-    return { presence, right, look, faults };
+    const orderableDomains = () =>
+      domains.filter((name) => right.forDomain(name) !== null);
+    return { presence, right, orderableDomains, faults };
   };
   return [start("a-1", "a"), start("b-1", "b"), start("c-1", "c")] as const;
 }
@@ -42,8 +43,11 @@
 /** Milliseconds until another instance holds the lease of domain b. */
 async function msUntilTakenOver([first, , third]: Instances): Promise<number> {
   for (let elapsedMs = 0; elapsedMs < 30_000; elapsedMs += 50) {
-    const held = [...first.look(), ...third.look()];
-    if (held.includes("b")) return elapsedMs;
+    const heldDomains = [
+      ...first.orderableDomains(),
+      ...third.orderableDomains(),
+    ];
+    if (heldDomains.includes("b")) return elapsedMs;
     await vi.advanceTimersByTimeAsync(50);
   }
   return Number.POSITIVE_INFINITY;
@@ -51,10 +55,14 @@
 
 async function settle(instances: Instances): Promise<void> {
   for (let at = 0; at < 100; at += 1) {
-    for (const { look } of instances) look();
+    for (const { orderableDomains } of instances) orderableDomains();
     await vi.advanceTimersByTimeAsync(50);
   }
-  expect(instances.map(({ look }) => look())).toEqual([["a"], ["b"], ["c"]]);
+  expect(instances.map(({ orderableDomains }) => orderableDomains())).toEqual([
+    ["a"],
+    ["b"],
+    ["c"],
+  ]);
 }
 
 describe("placement leases", () => {
--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -50,12 +50,12 @@
   const { signal } = controller;
   const report = { startedAt: 1, orderCount: 3, busy: false, held: null };
   const orders: PlaceOrder[] = [];
-  let orderMs = 0;
+  let orderDurationMs = 0;
   const engines = {
     report: async () => ({ ...report }) as unknown as EngineReport,
     async place(_: BackendServer, order: PlaceOrder): Promise<OrderAnswer> {
       orders.push(order);
-      if (orderMs > 0) await pause(orderMs);
+      if (orderDurationMs > 0) await pause(orderDurationMs);
       if (report.busy) return { kind: "conflict", detail: "busy" };
       return { kind: "accepted" };
     },
@@ -70,8 +70,8 @@
     fleet,
     report,
     orders,
-    orderTakes(ms: number) {
-      orderMs = ms;
+    setOrderDuration(ms: number) {
+      orderDurationMs = ms;
     },
     end: () => controller.abort(),
   };
@@ -101,12 +101,12 @@
 
   // Guards against missing layers that wait for the next planning interval.
   it("replans at once after a change while an order was being sent", async () => {
-    const { fleet, orders, orderTakes, end } = setUp();
+    const { fleet, orders, setOrderDuration, end } = setUp();
     const half = { ...ENGINE, kind: "half" };
     fleet.put({ ...half, id: "e-0", held: { from: 4, to: 6 } });
     fleet.put({ ...half, id: "e-1", held: { from: 0, to: 4 } });
     fleet.put({ ...half, id: "e-2" });
-    orderTakes(300);
+    setOrderDuration(300);
     await vi.advanceTimersByTimeAsync(200);
     fleet.remove("e-1");
     fleet.put({ ...half, id: "e-3" });
