--- a/packages/gateway/src/placement/mod.ts
+++ b/packages/gateway/src/placement/mod.ts
@@ -1,3 +1,3 @@
-/** Orders engines to hold layers. */
-export * from "./ordering_right.ts";
+/** Orders engines to load the layers that the plan assigns to them. */
+export * from "./placement_leases.ts";
 export * from "./placement_loop.ts";
