--- a/packages/cli/src/commands/account.ts
+++ b/packages/cli/src/commands/account.ts
@@ -59,9 +59,9 @@
 
 async function readOutcomes(file: string): Promise<CallerOutcomes[]> {
   const text = readText(file);
-  const { decodePlayedDay } = await import("@rosemarypin/platform");
+  const { decodeSimulatedDay } = await import("@rosemarypin/platform");
   try {
-    return decodePlayedDay(text);
+    return decodeSimulatedDay(text);
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
     throw new CommandError(`${file} is no report: ${reason}`, exitCodes.usage);
--- a/packages/gateway/src/backends/backend_exchange.ts
+++ b/packages/gateway/src/backends/backend_exchange.ts
@@ -185,7 +185,7 @@
 }
 
 /** Returns why a server is suspected after a failure to connect. */
-export function awayReason(detail: string): SuspicionReason {
+export function suspicionReasonOf(detail: string): SuspicionReason {
   return detail === "ECONNREFUSED" ? "ended" : "silent";
 }
 
--- a/packages/gateway/src/backends/backend_fleet.ts
+++ b/packages/gateway/src/backends/backend_fleet.ts
@@ -44,7 +44,7 @@
    * probes at that address, so the suspicion would end at once and requests
    * and orders would continue to reach the wrong server.
    */
-  replaced(id: string): void;
+  markReplaced(id: string): void;
   /**
    * Share of an engine's memory that answers use, from its latest report;
    * `null` if that is older than a second.
@@ -108,7 +108,7 @@
       if (sibling.failureDomain !== domain || detector.isAvoided(sibling.id))
         continue;
       void probe(sibling.id).then((works) => {
-        if (works === false) detector.away(sibling.id, "silent");
+        if (works === false) detector.reportFailure(sibling.id, "silent");
       });
     }
   }
@@ -188,7 +188,7 @@
       log.info("server_gone", { id, address: last.address });
       notifyChanged(id);
     },
-    replaced(id) {
+    markReplaced(id) {
       const last = servers.get(id);
       if (!last) return;
       replacedEntries.set(id, last);
@@ -196,9 +196,9 @@
     },
     putReport,
     recheck(id) {
-      detector.refused(id);
+      detector.reportRefusal(id);
       void probe(id).then((works) => {
-        if (works === false) detector.away(id, "silent");
+        if (works === false) detector.reportFailure(id, "silent");
       });
     },
     onChanged(callback) {
--- a/packages/gateway/src/backends/backend_fleet_test.ts
+++ b/packages/gateway/src/backends/backend_fleet_test.ts
@@ -52,8 +52,8 @@
     // counted as alive until requests failed there too, their layers would not
     // be loaded elsewhere, and callers would be refused meanwhile.
     const { fleet, end } = setUp(new Set(["b1", "b2", "b3", "b4"]));
-    fleet.detector.away("b1", "silent");
-    fleet.detector.away("b2", "silent");
+    fleet.detector.reportFailure("b1", "silent");
+    fleet.detector.reportFailure("b2", "silent");
     await vi.advanceTimersByTimeAsync(1_000);
     const dead = ["b1", "b2", "b3", "b4"].filter(fleet.detector.isDead);
     expect(dead).toEqual(["b1", "b2", "b3", "b4"]);
@@ -62,8 +62,8 @@
 
   it("excludes engines that answer a probe", async () => {
     const { fleet, end } = setUp(new Set(["b1", "b2"]));
-    fleet.detector.away("b1", "silent");
-    fleet.detector.away("b2", "silent");
+    fleet.detector.reportFailure("b1", "silent");
+    fleet.detector.reportFailure("b2", "silent");
     await vi.advanceTimersByTimeAsync(1_000);
     expect(fleet.detector.isAvoided("b3")).toBe(false);
     end();
@@ -74,7 +74,7 @@
     ["engines of the local domain", ["a1", "a2"]],
   ])("is not caused by %s", async (_name, silent) => {
     const { fleet, probed, end } = setUp(new Set(silent));
-    for (const id of silent) fleet.detector.away(id, "silent");
+    for (const id of silent) fleet.detector.reportFailure(id, "silent");
     await vi.advanceTimersByTimeAsync(1_000);
     expect(probed.filter((id) => !silent.includes(id))).toEqual([]);
     end();
--- a/packages/gateway/src/backends/failure_detector.ts
+++ b/packages/gateway/src/backends/failure_detector.ts
@@ -44,9 +44,9 @@
 
 export interface FailureDetector {
   /** Records a failure of the server. */
-  away(id: string, reason: SuspicionReason): void;
+  reportFailure(id: string, reason: SuspicionReason): void;
   /** Records that the server, or a pipeline because of it, refused a request. */
-  refused(id: string): void;
+  reportRefusal(id: string): void;
   /** Records that the server works or has restarted; ends any suspicion. */
   reportSuccess(id: string): void;
   /** Whether the server gets no new requests at present. */
@@ -154,7 +154,7 @@
   }
 
   return {
-    away(id, reason) {
+    reportFailure(id, reason) {
       const last = suspicions.get(id);
       if (!last) {
         void startSuspicion(id, reason);
@@ -172,7 +172,7 @@
       last.failures = isRecent ? last.failures + 1 : 1;
       startBackoff(last);
     },
-    refused(id) {
+    reportRefusal(id) {
       refusals.set(id, performance.now() + REFUSAL_COOLDOWN_MS);
     },
     reportSuccess(id) {
--- a/packages/gateway/src/backends/failure_detector_test.ts
+++ b/packages/gateway/src/backends/failure_detector_test.ts
@@ -27,7 +27,7 @@
     // answers would be sent to it each time and stall for seconds.
     let works = false;
     const { detector, end } = setUp(() => works);
-    detector.away("e", "silent");
+    detector.reportFailure("e", "silent");
     await vi.advanceTimersByTimeAsync(20_000);
     expect(detector.isAvoided("e")).toBe(true);
     works = true;
@@ -40,7 +40,7 @@
     // An engine is slow once. If the planner replaced it at once, the layers
     // that its replacements release would be missing in other pipelines.
     const { detector, probed, end } = setUp(() => false);
-    detector.away("e", "silent");
+    detector.reportFailure("e", "silent");
     await vi.advanceTimersByTimeAsync(0);
     expect(detector.isDead("e")).toBe(false);
     await vi.advanceTimersByTimeAsync(200);
@@ -53,14 +53,14 @@
 
   it("counts as dead at once when its address refuses connections", () => {
     const { detector, end } = setUp(() => false);
-    detector.away("e", "ended");
+    detector.reportFailure("e", "ended");
     expect(detector.isDead("e")).toBe(true);
     end();
   });
 
   it("gets requests after a restart", () => {
     const { detector, end } = setUp(() => false);
-    detector.away("e", "ended");
+    detector.reportFailure("e", "ended");
     detector.reportSuccess("e");
     expect(detector.isAvoided("e")).toBe(false);
     expect(detector.isDead("e")).toBe(false);
@@ -70,7 +70,7 @@
 
 it("a server that refused a request is avoided for less than 300 ms", () => {
   const { detector, end } = setUp(() => true);
-  detector.refused("e");
+  detector.reportRefusal("e");
   expect(detector.isAvoided("e")).toBe(true);
   expect(detector.isDead("e")).toBe(false);
   vi.advanceTimersByTime(300);
@@ -82,7 +82,7 @@
   const { detector, end } = setUp(() => null);
   const waits: number[] = [];
   for (let failure = 0; failure < 5; failure += 1) {
-    detector.away("p", "silent");
+    detector.reportFailure("p", "silent");
     await vi.advanceTimersByTimeAsync(0);
     let waited = 0;
     while (detector.isAvoided("p")) {
--- a/packages/gateway/src/callers/caller_answer.ts
+++ b/packages/gateway/src/callers/caller_answer.ts
@@ -8,13 +8,16 @@
 const NOT_RUN_STATUSES = new Set([408, 421, 429, 503]);
 
 /** Range in seconds from which a retry delay for a caller is drawn. */
-export interface ReturnSpan {
-  readonly least: number;
-  readonly most: number;
+export interface RetryDelayRange {
+  readonly minSeconds: number;
+  readonly maxSeconds: number;
 }
 
 /** Full servers of plain services have capacity again after this time. */
-const FULL_SERVER_RETRY_AFTER: ReturnSpan = { least: 0.4, most: 1.6 };
+const FULL_SERVER_RETRY_AFTER: RetryDelayRange = {
+  minSeconds: 0.4,
+  maxSeconds: 1.6,
+};
 
 export interface RefusalOptions {
   readonly status: number;
@@ -36,7 +39,7 @@
     ...codec.encodeRefusal({
       requestId,
       retryAfterSeconds: NOT_RUN_STATUSES.has(status)
-        ? (retryAfterSeconds ?? drawReturn(FULL_SERVER_RETRY_AFTER))
+        ? (retryAfterSeconds ?? drawRetrySeconds(FULL_SERVER_RETRY_AFTER))
         : null,
     }),
     "Content-Type": "application/json",
@@ -46,8 +49,11 @@
 }
 
 /** Draws a delay in seconds; randomness spreads the retries of callers. */
-export function drawReturn({ least, most }: ReturnSpan): number {
-  return least + Math.random() * (most - least);
+export function drawRetrySeconds({
+  minSeconds,
+  maxSeconds,
+}: RetryDelayRange): number {
+  return minSeconds + Math.random() * (maxSeconds - minSeconds);
 }
 
 /**
@@ -61,8 +67,8 @@
   response: ServerResponse,
   { status, headers }: Pick<OpenAnswer, "status" | "headers">,
 ): void {
-  const { framed } = codec.decodeAnswer(status, headers);
-  if (!framed) response.useChunkedEncodingByDefault = false;
+  const { isFramed } = codec.decodeAnswer(status, headers);
+  if (!isFramed) response.useChunkedEncodingByDefault = false;
   response.writeHead(status, codec.encodeAnswer(headers));
 }
 
--- a/packages/gateway/src/callers/caller_call.ts
+++ b/packages/gateway/src/callers/caller_call.ts
@@ -1,13 +1,13 @@
 /** A caller's request in progress, and its end. */
 import type { ServerResponse } from "node:http";
 import type { Organisation, Route, Service } from "../configuration.ts";
-import type { RequestFacts } from "../protocol.ts";
+import type { RequestMetadata } from "../protocol.ts";
 import type { PaceSummary } from "./stream_pace.ts";
 
 export interface CallerCall {
   /** The caller's request id, or a generated one. */
   readonly id: string;
-  readonly facts: RequestFacts;
+  readonly facts: RequestMetadata;
   readonly route: Route;
   readonly service: Service;
   readonly organisation: Organisation | null;
@@ -24,7 +24,7 @@
   /** Aborted when the caller disconnects or the deadline passes. */
   readonly signal: AbortSignal;
   /** Whether the caller disconnected before the end of the answer. */
-  readonly callerLeft: () => boolean;
+  readonly hasCallerLeft: () => boolean;
 }
 
 /** How a request ended, for the log and the metrics. */
--- a/packages/gateway/src/callers/caller_listener.ts
+++ b/packages/gateway/src/callers/caller_listener.ts
@@ -16,7 +16,7 @@
   AppliedConfiguration,
   ConfigurationKeeper,
 } from "../following/mod.ts";
-import type { RequestCodec, RequestFacts } from "../protocol.ts";
+import type { RequestCodec, RequestMetadata } from "../protocol.ts";
 import { refuse } from "./caller_answer.ts";
 import type { CallEnd, CallerCall } from "./caller_call.ts";
 import type { WarmUp } from "./warm_up.ts";
@@ -39,7 +39,7 @@
  * failed. A later request was sent on a kept-alive connection, and its answer
  * might not end before the process exits, so it is refused as not run.
  */
-export const TAKEN_AFTER_STOP_MS = 2_600;
+export const ACCEPT_AFTER_STOP_MS = 2_600;
 
 const log = createLogger("callers");
 
@@ -114,7 +114,7 @@
     await options.warmUp();
     const applied = keeper.applied();
     const isPastStopGrace =
-      (options.stoppingForMs() ?? 0) > TAKEN_AFTER_STOP_MS;
+      (options.stoppingForMs() ?? 0) > ACCEPT_AFTER_STOP_MS;
     const admitted = isPastStopGrace
       ? { status: 503, reason: "stopping" }
       : admit(request, { facts, applied });
@@ -158,7 +158,7 @@
       startedAt,
       deadlineAt: startedAt + callTimeoutMs,
       signal: callAbort.signal,
-      callerLeft: () => callerLeft,
+      hasCallerLeft: () => callerLeft,
     };
     try {
       const end = await options.forward(call);
@@ -172,7 +172,7 @@
   function refuseRequest(
     request: IncomingMessage,
     response: ServerResponse,
-    options: { readonly facts: RequestFacts; readonly refusal: Refusal },
+    options: { readonly facts: RequestMetadata; readonly refusal: Refusal },
   ): void {
     const { facts, refusal } = options;
     const { status, reason } = refusal;
@@ -195,7 +195,7 @@
 function admit(
   request: IncomingMessage,
   options: {
-    readonly facts: RequestFacts;
+    readonly facts: RequestMetadata;
     readonly applied: AppliedConfiguration | null;
   },
 ): Admission | Refusal {
@@ -220,7 +220,7 @@
 
 function organisationOf(
   { organisations }: AppliedConfiguration,
-  { key }: RequestFacts,
+  { key }: RequestMetadata,
 ): Organisation | null {
   return key === null ? null : (organisations?.get(key) ?? null);
 }
--- a/packages/gateway/src/following/presence.ts
+++ b/packages/gateway/src/following/presence.ts
@@ -59,14 +59,14 @@
    */
   countPossiblyLive(): number;
   /** Names of other instances that may send requests in a failure domain. */
-  othersIn(failureDomain: string): readonly string[];
+  possibleSendersOf(failureDomain: string): readonly string[];
   /** Whether a failure domain has another live instance. */
-  hasOther(failureDomain: string): boolean;
+  hasOtherLiveIn(failureDomain: string): boolean;
   /**
    * Number of live instances whose name sorts before this one's, in one failure
    * domain or, with `null`, in all.
    */
-  ahead(failureDomain: string | null): number;
+  countLiveBefore(failureDomain: string | null): number;
   /** All other instances, live or not, whose object exists. */
   others(): OtherInstance[];
   /** Addresses of other live instances. */
@@ -234,9 +234,9 @@
             ({ presence }) => !presence.leaving,
           ).length,
       ),
-    othersIn: possibleSendersIn,
-    hasOther: (domain) => countLiveIn(domain) > 0,
-    ahead: (domain) =>
+    possibleSendersOf: possibleSendersIn,
+    hasOtherLiveIn: (domain) => countLiveIn(domain) > 0,
+    countLiveBefore: (domain) =>
       liveEntries().filter(
         ([other, { presence }]) =>
           other < ownKey &&
--- a/packages/gateway/src/forwarding/backend_request.ts
+++ b/packages/gateway/src/forwarding/backend_request.ts
@@ -1,13 +1,17 @@
 /** Requests to backend servers, for plain calls and streams. */
 import type { OpenAnswer, OutgoingRequest } from "../backends/mod.ts";
 import { type CallerCall, priorityOf, timeLeftMs } from "../callers/mod.ts";
-import type { AnswerFacts, AttemptFacts, RequestCodec } from "../protocol.ts";
+import type {
+  AnswerMetadata,
+  AttemptMetadata,
+  RequestCodec,
+} from "../protocol.ts";
 
 /** Creates the request to a backend server for one attempt of a call. */
-export function outgoingRequest(
+export function createOutgoingRequest(
   codec: RequestCodec,
   call: CallerCall,
-  attempt: Pick<AttemptFacts, "backendId" | "pipeline" | "lastEventId">,
+  attempt: Pick<AttemptMetadata, "backendId" | "pipeline" | "lastEventId">,
 ): OutgoingRequest {
   return {
     method: call.method,
@@ -28,13 +32,13 @@
  */
 export function isOwnAnswer(
   { facts }: CallerCall,
-  { requestId, plainBody }: AnswerFacts,
+  { requestId, hasPlainBody }: AnswerMetadata,
 ): boolean {
-  return plainBody && (requestId === null || requestId === facts.requestId);
+  return hasPlainBody && (requestId === null || requestId === facts.requestId);
 }
 
 /** Reads the whole body; throws when it ends early. */
-export async function readWhole({ body }: OpenAnswer): Promise<Buffer> {
+export async function readBody({ body }: OpenAnswer): Promise<Buffer> {
   const chunks: Buffer[] = [];
   for await (const chunk of body) chunks.push(chunk);
   return Buffer.concat(chunks);
--- a/packages/gateway/src/forwarding/retry_budget.ts
+++ b/packages/gateway/src/forwarding/retry_budget.ts
@@ -13,7 +13,7 @@
   /** Counts a request of a caller, which adds to the allowance. */
   countRequest(service: string): void;
   /** Takes one retry from the budget; false when none is left. */
-  take(service: string): boolean;
+  takeRetry(service: string): boolean;
 }
 
 interface WindowSlice {
@@ -56,7 +56,7 @@
     countRequest(service) {
       currentSlice(recentSlicesOf(service)).requests += 1;
     },
-    take(service) {
+    takeRetry(service) {
       const slices = recentSlicesOf(service);
       const requests = slices.reduce((sum, slice) => sum + slice.requests, 0);
       const retries = slices.reduce((sum, slice) => sum + slice.retries, 0);
--- a/packages/gateway/src/forwarding/retry_budget_test.ts
+++ b/packages/gateway/src/forwarding/retry_budget_test.ts
@@ -12,7 +12,7 @@
 
 function takeAllRetries(budget: ReturnType<typeof createRetryBudget>): number {
   let taken = 0;
-  while (budget.take("s")) taken += 1;
+  while (budget.takeRetry("s")) taken += 1;
   return taken;
 }
 
@@ -28,7 +28,7 @@
     const budget = createRetryBudget(settings, () => 4);
     takeAllRetries(budget);
     vi.advanceTimersByTime(9_000);
-    expect(budget.take("s")).toBe(false);
+    expect(budget.takeRetry("s")).toBe(false);
     vi.advanceTimersByTime(2_000);
     expect(takeAllRetries(budget)).toBe(7);
   });
@@ -49,6 +49,6 @@
   it("counts each service separately", () => {
     const budget = createRetryBudget(settings, () => 4);
     takeAllRetries(budget);
-    expect(budget.take("other")).toBe(true);
+    expect(budget.takeRetry("other")).toBe(true);
   });
 });
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -7,11 +7,11 @@
 import { pause } from "@rosemarypin/timing";
 import { createBackendExchange, createBackendFleet } from "./backends/mod.ts";
 import {
+  ACCEPT_AFTER_STOP_MS,
   type CallEnd,
   type CallerCall,
   createCallerListener,
   createWarmUp,
-  TAKEN_AFTER_STOP_MS,
 } from "./callers/mod.ts";
 import {
   createConfigurationKeeper,
@@ -25,17 +25,17 @@
   createReadinessServer,
   createReleaseHistory,
 } from "./operators/mod.ts";
-import { createOrderingRight, startPlacement } from "./placement/mod.ts";
+import { createPlacementLeases, startPlacement } from "./placement/mod.ts";
 import { createServerChoice, forwardPlain } from "./plain/mod.ts";
 import type { Platform } from "./platform.ts";
 import type { GatewaySettings, ListenAddress } from "./settings.ts";
 import {
-  chooseToldPeers,
-  createEngineUse,
+  chooseUsageDestinations,
+  createEngineUsage,
   createPipelineRouter,
   createStallDetector,
   forwardStream,
-  startUseExchange,
+  startUsageExchange,
 } from "./streams/mod.ts";
 
 /** Time reserved at the end of the grace period, to exit before being killed. */
@@ -87,12 +87,12 @@
   const [configurations, servers] = mirrors;
   if (!configurations || !servers)
     throw new Error("no mirror for a store prefix");
-  const orderingRight = createOrderingRight({
+  const orderingRight = createPlacementLeases({
     store,
     instance,
     failureDomain,
     presence,
-    storeAwayMs: () =>
+    storeOutageMs: () =>
       Math.min(configurations.unavailableMs(), servers.unavailableMs()),
   });
   const budget = createRetryBudget(
@@ -101,29 +101,30 @@
   );
   const exchange = createBackendExchange();
   const serverChoice = createServerChoice({ fleet, failureDomain });
-  const engineUse = createEngineUse();
+  const engineUse = createEngineUsage();
   const router = createPipelineRouter({
     fleet,
     failureDomain,
-    use: engineUse,
-    othersIn: presence.othersIn,
+    usage: engineUse,
+    possibleSendersOf: presence.possibleSendersOf,
   });
   if (settings.peers) {
-    startUseExchange({
+    startUsageExchange({
       transport: await createUdpTransport(settings.peers),
       instance,
-      use: engineUse,
-      peers: () => chooseToldPeers(failureDomain, presence.liveOthers()),
+      usage: engineUse,
+      peers: () =>
+        chooseUsageDestinations(failureDomain, presence.liveOthers()),
       signal,
     });
   }
-  const stalls = createStallDetector({ fleet, engines });
+  const stallDetector = createStallDetector({ fleet, engines });
   startPlacement({
     keeper,
     fleet,
     engines,
     signal,
-    rightFor: (domain) => orderingRight.forDomain(domain),
+    fencingNumberFor: (domain) => orderingRight.fencingNumberFor(domain),
   });
   const metrics = createGatewayMetrics({
     inProgress: () => listener.inProgress(),
@@ -162,7 +163,12 @@
     budget.countRequest(call.service.name);
     const dependencies = { codec, exchange, fleet, budget };
     if (call.service.engine) {
-      return forwardStream(call, { ...dependencies, router, stalls, engines });
+      return forwardStream(call, {
+        ...dependencies,
+        router,
+        stallDetector,
+        engines,
+      });
     }
     return forwardPlain(call, { ...dependencies, choice: serverChoice });
   }
@@ -209,7 +215,7 @@
     // Idle connections stay open meanwhile, and the next response on each asks
     // the caller to close it. Closing one here could drop a request in transit.
     while (elapsedMs() < drainLimitMs) {
-      if (isIdle() && elapsedMs() > TAKEN_AFTER_STOP_MS) break;
+      if (isIdle() && elapsedMs() > ACCEPT_AFTER_STOP_MS) break;
       await pause(SHUTDOWN_POLL_MS);
     }
     listener.server.close();
--- a/packages/gateway/src/placement/placement_leases.ts
+++ b/packages/gateway/src/placement/placement_leases.ts
@@ -37,19 +37,19 @@
    * Fencing number for orders to the domain's engines, or `null` while this
    * instance may not send any.
    */
-  forDomain(failureDomain: string): number | null;
+  fencingNumberFor(failureDomain: string): number | null;
   /** Releases all leases. */
   release(): Promise<void>;
 }
 
 /** Creates the leases; each is requested from its first use on. */
-export function createOrderingRight(options: {
+export function createPlacementLeases(options: {
   readonly store: ObjectStore;
   readonly instance: string;
   readonly failureDomain: string;
   readonly presence: Presence;
   /** Milliseconds since store calls began to fail; 0 while they succeed. */
-  readonly storeAwayMs: () => number;
+  readonly storeOutageMs: () => number;
 }): PlacementLeases {
   const startedAt = performance.now();
   /** Latest fencing number that this instance held, by domain. */
@@ -59,11 +59,11 @@
   function isCandidateFor(domain: string): boolean {
     const { failureDomain, presence } = options;
     if (domain === failureDomain)
-      return presence.ahead(domain) < CANDIDATES_PER_LEASE;
+      return presence.countLiveBefore(domain) < CANDIDATES_PER_LEASE;
     const hasJustStarted =
       performance.now() - startedAt < FOREIGN_TAKEOVER_DELAY_MS;
-    if (hasJustStarted || presence.hasOther(domain)) return false;
-    return presence.ahead(null) < CANDIDATES_PER_LEASE;
+    if (hasJustStarted || presence.hasOtherLiveIn(domain)) return false;
+    return presence.countLiveBefore(null) < CANDIDATES_PER_LEASE;
   }
 
   function leaseFor(domain: string): ControlLease {
@@ -83,12 +83,12 @@
   }
 
   return {
-    forDomain(domain) {
+    fencingNumberFor(domain) {
       const held = leaseFor(domain).held();
       if (held) lastFencingNumbers.set(domain, held.fencingNumber);
       if (held) return held.fencingNumber;
       const isOwnDomain = domain === options.failureDomain;
-      const isStoreDown = options.storeAwayMs() > STORE_OUTAGE_FALLBACK_MS;
+      const isStoreDown = options.storeOutageMs() > STORE_OUTAGE_FALLBACK_MS;
       return isOwnDomain && isStoreDown
         ? (lastFencingNumbers.get(domain) ?? 0)
         : null;
--- a/packages/gateway/src/placement/placement_leases_test.ts
+++ b/packages/gateway/src/placement/placement_leases_test.ts
@@ -1,7 +1,7 @@
 import { createMemoryStore } from "@rosemarypin/fakes";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { startPresence } from "../following/mod.ts";
-import { createOrderingRight } from "./placement_leases.ts";
+import { createPlacementLeases } from "./placement_leases.ts";
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -23,16 +23,16 @@
       peer: null,
       signal,
     });
-    const right = createOrderingRight({
+    const right = createPlacementLeases({
       store,
       instance,
       failureDomain,
       presence,
-      storeAwayMs: () => 0,
+      storeOutageMs: () => 0,
     });
     const domains = ["a", "b", "c"];
     const orderableDomains = () =>
-      domains.filter((name) => right.forDomain(name) !== null);
+      domains.filter((name) => right.fencingNumberFor(name) !== null);
     return { presence, right, orderableDomains, faults };
   };
   return [start("a-1", "a"), start("b-1", "b"), start("c-1", "c")] as const;
@@ -99,8 +99,8 @@
     const [first, refused] = instances;
     refused.faults.down = true;
     await vi.advanceTimersByTimeAsync(8_000);
-    expect(first.presence.othersIn("b")).toEqual(["b-1"]);
+    expect(first.presence.possibleSendersOf("b")).toEqual(["b-1"]);
     await vi.advanceTimersByTimeAsync(8_000);
-    expect(first.presence.othersIn("b")).toEqual([]);
+    expect(first.presence.possibleSendersOf("b")).toEqual([]);
   });
 });
--- a/packages/gateway/src/placement/placement_loop.ts
+++ b/packages/gateway/src/placement/placement_loop.ts
@@ -41,7 +41,7 @@
   readonly engines: EngineCalls;
   readonly signal: AbortSignal;
   /** Fencing number for orders in a domain; `null` if none may be sent. */
-  readonly rightFor: (failureDomain: string) => number | null;
+  readonly fencingNumberFor: (failureDomain: string) => number | null;
 }
 
 interface PendingOrder {
@@ -124,7 +124,7 @@
       const kind = engine.kinds.get(server.kind ?? "");
       return kind ? [plannedEngine(server, kind)] : [];
     });
-    if (!plannedEngines.some(({ orderable }) => orderable)) return [];
+    if (!plannedEngines.some(({ acceptsOrders }) => acceptsOrders)) return [];
     const planner = planners.get(service) ?? createLayerPlanner();
     planners.set(service, planner);
     return planner(plannedEngines, engine.model);
@@ -147,7 +147,8 @@
       readFactor: kind.readFactor,
       held: order?.range ?? server.held,
       serving: server.held,
-      orderable: !order && options.rightFor(server.failureDomain) !== null,
+      acceptsOrders:
+        !order && options.fencingNumberFor(server.failureDomain) !== null,
     };
   }
 
@@ -155,7 +156,7 @@
     if (fleet.get(engineId)?.orderCount === null) await refreshReport(engineId);
     const server = fleet.get(engineId);
     if (!server || server.orderCount === null || pending.has(engineId)) return;
-    const fencingNumber = options.rightFor(server.failureDomain);
+    const fencingNumber = options.fencingNumberFor(server.failureDomain);
     if (fencingNumber === null) return;
     const order: PendingOrder = {
       range,
@@ -185,7 +186,7 @@
     if (answer.kind === "accepted" || answer.kind === "unknown") return;
     // The engine refused the order; the next plan needs its current state.
     pending.delete(engineId);
-    if (answer.kind === "replaced") return fleet.replaced(engineId);
+    if (answer.kind === "replaced") return fleet.markReplaced(engineId);
     await refreshReport(engineId);
   }
 
@@ -239,7 +240,7 @@
     const server = fleet.get(id);
     if (!server) return;
     const report = await engines.report(server.address, REPORT_TIMEOUT_MS);
-    if (!report) return fleet.detector.away(id, "silent");
+    if (!report) return fleet.detector.reportFailure(id, "silent");
     fleet.putReport(id, report);
     // A new order would make a loading engine drop what it has loaded so far.
     if (report.busy && !pending.has(id)) {
--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -3,7 +3,7 @@
 import type { BackendServer, EngineReport } from "../backend_server.ts";
 import { createBackendFleet } from "../backends/mod.ts";
 import type { ConfigurationKeeper } from "../following/mod.ts";
-import type { EngineCalls, OrderAnswer, PlaceOrder } from "../protocol.ts";
+import type { EngineCalls, OrderOutcome, PlaceOrder } from "../protocol.ts";
 import { startPlacement } from "./placement_loop.ts";
 
 beforeEach(() => {
@@ -20,10 +20,10 @@
     layerMb: 100,
     tokenLayerBytes: 1_000,
     stepMs: 1,
-    readTokensPerMs: 100,
-    usualPromptTokens: 10,
-    usualAnswerTokens: 10,
-    mostAnswers: 4,
+    prefillTokensPerMs: 100,
+    meanPromptTokens: 10,
+    meanAnswerTokens: 10,
+    maxConcurrentAnswers: 4,
   },
   kinds: new Map([
     ["card", { name: "card", memoryMb: 900, stepFactor: 1, readFactor: 1 }],
@@ -53,7 +53,7 @@
   let orderDurationMs = 0;
   const engines = {
     report: async () => ({ ...report }) as unknown as EngineReport,
-    async place(_: BackendServer, order: PlaceOrder): Promise<OrderAnswer> {
+    async place(_: BackendServer, order: PlaceOrder): Promise<OrderOutcome> {
       orders.push(order);
       if (orderDurationMs > 0) await pause(orderDurationMs);
       if (report.busy) return { kind: "conflict", detail: "busy" };
@@ -65,7 +65,7 @@
   const keeper = {
     applied: () => ({ services: new Map([["model", service]]) }),
   } as unknown as ConfigurationKeeper;
-  startPlacement({ keeper, fleet, engines, signal, rightFor: () => 1 });
+  startPlacement({ keeper, fleet, engines, signal, fencingNumberFor: () => 1 });
   return {
     fleet,
     report,
--- a/packages/gateway/src/plain/forward_plain.ts
+++ b/packages/gateway/src/plain/forward_plain.ts
@@ -1,7 +1,7 @@
 /** Forwards requests of plain services, with a bounded number of retries. */
 import { createLogger } from "@rosemarypin/telemetry";
 import type { BackendServer } from "../backend_server.ts";
-import { awayReason, type OpenAnswer } from "../backends/mod.ts";
+import { type OpenAnswer, suspicionReasonOf } from "../backends/mod.ts";
 import {
   beginAnswer,
   type CallEnd,
@@ -10,10 +10,10 @@
   timeLeftMs,
 } from "../callers/mod.ts";
 import {
+  createOutgoingRequest,
   type ForwardingParts,
   isOwnAnswer,
-  outgoingRequest,
-  readWhole,
+  readBody,
 } from "../forwarding/mod.ts";
 import type { RequestCodec } from "../protocol.ts";
 import type { ServerChoice } from "./server_choice.ts";
@@ -55,7 +55,7 @@
   while (!call.signal.aborted) {
     const server = choice.choose(call.service.name, triedIds);
     if (!server) break;
-    if (attempts > 0 && !budget.take(call.service.name)) break;
+    if (attempts > 0 && !budget.takeRetry(call.service.name)) break;
     attempts += 1;
     triedIds.add(server.id);
     const isLast = !isRetryable || possibleRuns + 1 >= call.route.maxAttempts;
@@ -73,7 +73,7 @@
     if (isFinal || !isRetryable || possibleRuns >= call.route.maxAttempts)
       break;
   }
-  if (call.callerLeft()) {
+  if (call.hasCallerLeft()) {
     const reason = "caller_left";
     return { status: 0, outcome: reason, reason, attempts, firstByteMs: null };
   }
@@ -109,7 +109,7 @@
   try {
     const result = await exchange.send(
       server,
-      outgoingRequest(codec, call, {
+      createOutgoingRequest(codec, call, {
         backendId: server.id,
         pipeline: null,
         lastEventId: null,
@@ -123,7 +123,7 @@
       },
     );
     if (result.kind === "not_sent") {
-      fleet.detector.away(server.id, awayReason(result.detail));
+      fleet.detector.reportFailure(server.id, suspicionReasonOf(result.detail));
       return { kind: "not_run", detail: result.detail };
     }
     if (result.kind === "broken") {
@@ -153,12 +153,12 @@
     return { kind: "unknown", detail: "answer_of_another_request" };
   }
   const isSuccess = answer.status < 300;
-  if (isSuccess && !facts.signed) {
+  if (isSuccess && !facts.isSigned) {
     answer.abandon();
     return { kind: "unknown", detail: "unsigned_answer" };
   }
   try {
-    const body = await readWhole(answer);
+    const body = await readBody(answer);
     if (facts.notRun && !isSuccess) {
       return { kind: "not_run", detail: `refused_${answer.status}` };
     }
--- a/packages/gateway/src/protocol.ts
+++ b/packages/gateway/src/protocol.ts
@@ -7,14 +7,14 @@
 import type { BackendServer, EngineReport } from "./backend_server.ts";
 
 /** Values decoded from the headers of a request; `null` if absent. */
-export interface RequestFacts {
+export interface RequestMetadata {
   readonly requestId: string | null;
   /** How long the caller waits, in milliseconds. */
   readonly deadlineMs: number | null;
   /** Key that identifies the organisation. */
   readonly key: string | null;
   readonly promptTokens: number | null;
-  readonly mostAnswerTokens: number | null;
+  readonly maxAnswerTokens: number | null;
   /** Caller's estimate: unbiased on average, but inaccurate for some requests. */
   readonly expectedAnswerTokens: number | null;
   /** ID of the event after which the stream should resume. */
@@ -28,7 +28,7 @@
 }
 
 /** Values that an instance adds to a request before it forwards it. */
-export interface AttemptFacts {
+export interface AttemptMetadata {
   readonly backendId: string;
   readonly organisation: string | null;
   readonly deadlineMs: number;
@@ -40,21 +40,21 @@
 }
 
 /** Values decoded from the headers of a backend server's answer. */
-export interface AnswerFacts {
+export interface AnswerMetadata {
   readonly requestId: string | null;
   /**
    * Whether it carries a backend server's signature header, which answers made
    * by intermediaries lack.
    */
-  readonly signed: boolean;
+  readonly isSigned: boolean;
   /** Whether the server states that it has not run the request and never will. */
   readonly notRun: boolean;
   /** `host:port` of the stage that failed, if the answer names one. */
   readonly faultyStage: string | null;
   /** Whether the body has no content coding. */
-  readonly plainBody: boolean;
+  readonly hasPlainBody: boolean;
   /** Whether a content length or chunked encoding marks the body's end. */
-  readonly framed: boolean;
+  readonly isFramed: boolean;
 }
 
 export type AnswerHeaders = Readonly<
@@ -63,10 +63,13 @@
 
 /** Translates the headers of requests and answers. */
 export interface RequestCodec {
-  decodeRequest(headers: IncomingHttpHeaders): RequestFacts;
+  decodeRequest(headers: IncomingHttpHeaders): RequestMetadata;
   /** Returns raw headers for a backend server from those of the caller. */
-  encodeAttempt(rawHeaders: readonly string[], attempt: AttemptFacts): string[];
-  decodeAnswer(status: number, headers: AnswerHeaders): AnswerFacts;
+  encodeAttempt(
+    rawHeaders: readonly string[],
+    attempt: AttemptMetadata,
+  ): string[];
+  decodeAnswer(status: number, headers: AnswerHeaders): AnswerMetadata;
   /** Returns the headers for the caller as a flat list of names and values. */
   encodeAnswer(headers: AnswerHeaders): string[];
   /** Returns the headers of an error response that the gateway itself sends. */
@@ -77,7 +80,7 @@
 }
 
 /** Outcome of an order to an engine. */
-export type OrderAnswer =
+export type OrderOutcome =
   | { readonly kind: "accepted" }
   /** The engine already is in the ordered state. */
   | { readonly kind: "done" }
@@ -101,7 +104,7 @@
 }
 
 /** Outcome of a change of an answer's pipeline. */
-export type MoveAnswer =
+export type PipelineChangeOutcome =
   | { readonly kind: "moved" }
   | { readonly kind: "unknown_request" }
   /** The engine at the address lacks memory; `null` if none is named. */
@@ -117,7 +120,7 @@
     server: BackendServer,
     order: PlaceOrder,
     timeoutMs: number,
-  ): Promise<OrderAnswer>;
+  ): Promise<OrderOutcome>;
   /** Replaces later stages in the pipeline of an answer in progress. */
   changePipeline(
     address: string,
@@ -126,5 +129,5 @@
       readonly pipeline: readonly AddressedStage[];
     },
     timeoutMs: number,
-  ): Promise<MoveAnswer>;
+  ): Promise<PipelineChangeOutcome>;
 }
--- a/packages/gateway/src/streams/engine_usage.ts
+++ b/packages/gateway/src/streams/engine_usage.ts
@@ -56,7 +56,7 @@
 export const NO_LOAD: EngineLoad = { held: 0, unread: 0 };
 
 /** Creates a record without answers and without reports of peers. */
-export function createEngineUse(): EngineUsage {
+export function createEngineUsage(): EngineUsage {
   const localLoads = new Map<string, EngineLoad>();
   const loadsByPeer = new Map<string, PeerLoads>();
   const callbacks: (() => void)[] = [];
--- a/packages/gateway/src/streams/engine_usage_test.ts
+++ b/packages/gateway/src/streams/engine_usage_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { AddressedStage } from "../protocol.ts";
-import { createEngineUse, PEER_LOADS_VALID_MS } from "./engine_usage.ts";
+import { createEngineUsage, PEER_LOADS_VALID_MS } from "./engine_usage.ts";
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -17,7 +17,7 @@
 
 describe("engine usage", () => {
   it("counts an answer once at each stage until its release", () => {
-    const usage = createEngineUse();
+    const usage = createEngineUsage();
     const answer = { stages, tokens: 100, unreadTokens: 80 };
     const reservation = usage.reserve({ ...answer, unreadStages: stages });
     usage.reserve({
@@ -39,7 +39,7 @@
   });
 
   it("counts a prompt once as unread until the answer begins", () => {
-    const usage = createEngineUse();
+    const usage = createEngineUsage();
     const answer = { stages, tokens: 100, unreadTokens: 80 };
     const reservation = usage.reserve({
       ...answer,
@@ -56,7 +56,7 @@
   });
 
   it("sums the latest loads of each peer", () => {
-    const usage = createEngineUse();
+    const usage = createEngineUsage();
     usage.recordPeerLoads("b", new Map([["e-1", { held: 10, unread: 1 }]]));
     usage.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
     usage.recordPeerLoads("c", new Map([["e-1", { held: 5, unread: 3 }]]));
@@ -65,7 +65,7 @@
   });
 
   it("drops the loads of a peer that stopped reporting", () => {
-    const usage = createEngineUse();
+    const usage = createEngineUsage();
     usage.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
     vi.advanceTimersByTime(PEER_LOADS_VALID_MS);
     expect(usage.peerLoadOf("e-1")).toEqual({ held: 0, unread: 0 });
--- a/packages/gateway/src/streams/forward_stream.ts
+++ b/packages/gateway/src/streams/forward_stream.ts
@@ -7,9 +7,9 @@
   type CallEnd,
   type CallerCall,
   createStreamPace,
-  drawReturn,
+  drawRetrySeconds,
   endWithRefusal,
-  type ReturnSpan,
+  type RetryDelayRange,
 } from "../callers/mod.ts";
 import type { RequestCodec } from "../protocol.ts";
 import { createAdmission } from "./admission.ts";
@@ -33,9 +33,15 @@
  * and other engines hold its layers one to two seconds later. A random delay in
  * the range spreads the retries of callers that were refused together.
  */
-const RETRY_AFTER_LOSS_SECONDS: ReturnSpan = { least: 1.2, most: 3.2 };
+const RETRY_AFTER_LOSS_SECONDS: RetryDelayRange = {
+  minSeconds: 1.2,
+  maxSeconds: 3.2,
+};
 /** Range when all engines are full; answers take one to two seconds. */
-const RETRY_WHEN_FULL_SECONDS: ReturnSpan = { least: 0.5, most: 2 };
+const RETRY_WHEN_FULL_SECONDS: RetryDelayRange = {
+  minSeconds: 0.5,
+  maxSeconds: 2,
+};
 
 /** Forwards a call until its stream is complete or can't be completed. */
 export async function forwardStream(
@@ -63,7 +69,7 @@
       break;
     }
     const { pipeline } = admitted;
-    if (attempts > 0 && !budget.take(call.service.name)) {
+    if (attempts > 0 && !budget.takeRetry(call.service.name)) {
       pipeline.release();
       break;
     }
@@ -101,10 +107,10 @@
 /** Estimates the tokens of a call's prompt and answer. */
 function estimateSize({ facts, service }: CallerCall): AnswerSize {
   const model = service.engine?.model;
-  const usual = model?.usualAnswerTokens ?? 0;
-  const promptTokens = facts.promptTokens ?? model?.usualPromptTokens ?? 0;
+  const usual = model?.meanAnswerTokens ?? 0;
+  const promptTokens = facts.promptTokens ?? model?.meanPromptTokens ?? 0;
   const expected = facts.expectedAnswerTokens ?? usual;
-  const answerTokens = Math.min(facts.mostAnswerTokens ?? expected, expected);
+  const answerTokens = Math.min(facts.maxAnswerTokens ?? expected, expected);
   return { promptTokens, answerTokens };
 }
 
@@ -126,7 +132,7 @@
     const outcome = "answered";
     return { status, outcome, reason: outcome, attempts, firstByteMs, pace };
   }
-  if (call.callerLeft()) {
+  if (call.hasCallerLeft()) {
     const reason = "caller_left";
     return { status: 0, outcome: reason, reason, attempts, firstByteMs, pace };
   }
@@ -148,7 +154,7 @@
     outcome,
     reason: lastEnd.detail,
     attempts,
-    retryAfterSeconds: drawReturn(
+    retryAfterSeconds: drawRetrySeconds(
       lastEnd.detail === "no_room"
         ? RETRY_WHEN_FULL_SECONDS
         : RETRY_AFTER_LOSS_SECONDS,
--- a/packages/gateway/src/streams/pipeline_router.ts
+++ b/packages/gateway/src/streams/pipeline_router.ts
@@ -1,10 +1,10 @@
 /** Chooses pipelines for answers and reserves their share of the engines. */
 import {
   findPipeline,
+  kvCapacityTokens,
   type LayerRange,
   layersIn,
-  readMs,
-  roomTokens,
+  prefillMs,
   type Stage,
   type StageCandidate,
 } from "@rosemarypin/pipelines";
@@ -75,16 +75,16 @@
 export interface PipelineRouterOptions {
   readonly fleet: BackendFleet;
   readonly failureDomain: string;
-  readonly use: EngineUsage;
+  readonly usage: EngineUsage;
   /** Names of other instances in a failure domain that may send answers. */
-  readonly othersIn: (failureDomain: string) => readonly string[];
+  readonly possibleSendersOf: (failureDomain: string) => readonly string[];
 }
 
 export function createPipelineRouter({
   fleet,
   failureDomain,
-  use,
-  othersIn,
+  usage,
+  possibleSendersOf,
 }: PipelineRouterOptions): PipelineRouter {
   function listCandidates(
     service: Service,
@@ -100,7 +100,7 @@
       const { memoryMb, stepFactor, readFactor } = kind;
       const { model } = engine;
       const layers = layersIn(held);
-      const room = roomTokens(model, { memoryMb, layers }) * layers;
+      const room = kvCapacityTokens(model, { memoryMb, layers }) * layers;
       const load = estimateLoad(
         server,
         layers,
@@ -119,7 +119,7 @@
           readFactor,
           held,
           load: Math.max(load.held / Math.max(1, room), reportedLoad),
-          backlogMs: readMs(model, { readFactor, tokenLayers: load.unread }),
+          backlogMs: prefillMs(model, { readFactor, tokenLayers: load.unread }),
         },
       ];
     });
@@ -135,8 +135,8 @@
     layers: number,
     domainUsage: DomainUsage,
   ): EngineLoad {
-    const localLoad = use.localLoads().get(id) ?? NO_LOAD;
-    const peerLoad = use.peerLoadOf(id);
+    const localLoad = usage.localLoads().get(id) ?? NO_LOAD;
+    const peerLoad = usage.peerLoadOf(id);
     const held =
       localLoad.held +
       peerLoad.held +
@@ -153,7 +153,7 @@
     // Without any report from that domain, each of its instances is assumed to
     // have as many tokens on this engine as this instance has in total.
     if (sampledLoads.length === 0)
-      return unreportedCount * use.localTokens() * layers;
+      return unreportedCount * usage.localTokens() * layers;
     const heldByReporting = sampledLoads.map(
       (loads) => loads.get(id)?.held ?? 0,
     );
@@ -166,11 +166,11 @@
     return (domain) => {
       const cached = usageByDomain.get(domain);
       if (cached) return cached;
-      const instances = othersIn(domain);
+      const instances = possibleSendersOf(domain);
       const reportedLoads = instances.flatMap(
-        (instance) => use.peerLoads(instance) ?? [],
+        (instance) => usage.peerLoads(instance) ?? [],
       );
-      const localLoads = domain === failureDomain ? [use.localLoads()] : [];
+      const localLoads = domain === failureDomain ? [usage.localLoads()] : [];
       const domainUsage = {
         unreportedCount: instances.length - reportedLoads.length,
         sampledLoads: [...reportedLoads, ...localLoads],
@@ -209,7 +209,7 @@
     { size, maxLoad = 1 }: PipelineRequest,
     { model }: EngineShape,
   ): boolean {
-    const room = roomTokens(model, { memoryMb, layers: layersIn(held) });
+    const room = kvCapacityTokens(model, { memoryMb, layers: layersIn(held) });
     return load + totalTokens(size) / Math.max(1, room) <= maxLoad;
   }
 
@@ -230,7 +230,7 @@
     const first = fleet.get(stages[0]?.engineId ?? "");
     if (!first) return null;
     const { size } = request;
-    const reservation = use.reserve({
+    const reservation = usage.reserve({
       stages,
       tokens: totalTokens(size),
       unreadTokens: size.promptTokens,
--- a/packages/gateway/src/streams/stage_recovery.ts
+++ b/packages/gateway/src/streams/stage_recovery.ts
@@ -200,7 +200,7 @@
       refusingStage && !currentPipeline.stages.includes(refusingStage);
     if (!isReplacementStage) return "failed";
     fullEngines.add(refusingStage.engineId);
-    fleet.detector.refused(refusingStage.engineId);
+    fleet.detector.reportRefusal(refusingStage.engineId);
     return "full";
   }
 
--- a/packages/gateway/src/streams/stage_recovery_test.ts
+++ b/packages/gateway/src/streams/stage_recovery_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { CallerCall } from "../callers/mod.ts";
-import type { AddressedStage, MoveAnswer } from "../protocol.ts";
+import type { AddressedStage, PipelineChangeOutcome } from "../protocol.ts";
 import type { ChosenPipeline } from "./pipeline_router.ts";
 import {
   createStageRecovery,
@@ -30,7 +30,7 @@
 
 interface RecoveryScenario {
   /** Responses to pipeline changes, in order. */
-  readonly answers?: readonly MoveAnswer[];
+  readonly answers?: readonly PipelineChangeOutcome[];
   /** Engines in the lost engine's domain that hold its layers. */
   readonly sameDomainEngines?: () => readonly string[];
   /** Engines in other domains that hold its layers. */
@@ -84,7 +84,7 @@
         return remainingAnswers.shift() ?? { kind: "moved" };
       },
     },
-    fleet: { detector: { refused: (id: string) => refused.push(id) } },
+    fleet: { detector: { reportRefusal: (id: string) => refused.push(id) } },
   } as unknown as RecoveryParts;
   const call = {
     id: "r",
@@ -105,7 +105,7 @@
   };
 }
 
-const full = (id: string): MoveAnswer => ({
+const full = (id: string): PipelineChangeOutcome => ({
   kind: "no_room",
   address: `${id}:1`,
 });
--- a/packages/gateway/src/streams/stall_detector.ts
+++ b/packages/gateway/src/streams/stall_detector.ts
@@ -270,7 +270,7 @@
   ): void {
     const lost = probed.filter(({ report }) => !report);
     for (const { engineId } of lost)
-      fleet.detector.away(engineId, "unresponsive");
+      fleet.detector.reportFailure(engineId, "unresponsive");
     if (lost.length > 0) {
       log.warn("pipeline_silent", {
         first: probed[0]?.engineId,
@@ -299,7 +299,7 @@
   /** Suspects a stage that another stage reported as unreachable. */
   function suspectStage(address: string): Stall {
     const stage = fleet.byAddress(address);
-    if (stage) fleet.detector.away(stage.id, "silent");
+    if (stage) fleet.detector.reportFailure(stage.id, "silent");
     return { kind: "stage", address };
   }
 
--- a/packages/gateway/src/streams/stall_detector_test.ts
+++ b/packages/gateway/src/streams/stall_detector_test.ts
@@ -39,7 +39,7 @@
     },
   } as unknown as EngineCalls;
   const fleet = {
-    detector: { away: (id: string) => suspectedEngines.push(id) },
+    detector: { reportFailure: (id: string) => suspectedEngines.push(id) },
     putReport: () => {},
     byAddress: (address: string) => ({ id: address.split(":")[0] }),
   } as unknown as BackendFleet;
--- a/packages/gateway/src/streams/stream_run.ts
+++ b/packages/gateway/src/streams/stream_run.ts
@@ -1,7 +1,7 @@
 /** Runs a streamed answer on one pipeline. */
 import { once } from "node:events";
 import { createLogger } from "@rosemarypin/telemetry";
-import { awayReason, type OpenAnswer } from "../backends/mod.ts";
+import { type OpenAnswer, suspicionReasonOf } from "../backends/mod.ts";
 import {
   beginAnswer,
   type CallerCall,
@@ -9,12 +9,12 @@
   timeLeftMs,
 } from "../callers/mod.ts";
 import {
+  createOutgoingRequest,
   type ForwardingParts,
   isOwnAnswer,
-  outgoingRequest,
-  readWhole,
+  readBody,
 } from "../forwarding/mod.ts";
-import type { AnswerFacts, EngineCalls, RequestCodec } from "../protocol.ts";
+import type { AnswerMetadata, EngineCalls, RequestCodec } from "../protocol.ts";
 import { createEventSplitter } from "./event_splitter.ts";
 import type { PipelineRouter } from "./pipeline_router.ts";
 import {
@@ -26,7 +26,7 @@
 
 export interface StreamParts extends ForwardingParts {
   readonly router: PipelineRouter;
-  readonly stalls: StallDetector;
+  readonly stallDetector: StallDetector;
   readonly engines: EngineCalls;
 }
 
@@ -77,7 +77,7 @@
     parts,
     onPipelineChanged: () => follower.onPipelineChanged(),
   });
-  const follower = parts.stalls.follow({
+  const follower = parts.stallDetector.follow({
     requestId: call.id,
     pipeline: () => run.pipeline,
     onStall: recovery.onStall,
@@ -86,7 +86,7 @@
     const result = await send(call, run, options);
     if (result.kind === "not_sent") {
       const { id } = run.pipeline.first;
-      parts.fleet.detector.away(id, awayReason(result.detail));
+      parts.fleet.detector.reportFailure(id, suspicionReasonOf(result.detail));
       return { kind: "not_run", detail: result.detail };
     }
     if (result.kind === "broken") return brokenRun(recovery, result.detail);
@@ -97,7 +97,7 @@
     }
     if (result.status >= 300)
       return await readErrorAnswer(run, result, { facts, parts });
-    if (!facts.signed) {
+    if (!facts.isSigned) {
       result.abandon();
       return brokenRun(recovery, "unsigned_answer");
     }
@@ -137,7 +137,7 @@
 ) {
   const { codec, exchange } = options.parts;
   const { first, stages } = run.pipeline;
-  const request = outgoingRequest(codec, call, {
+  const request = createOutgoingRequest(codec, call, {
     backendId: first.id,
     pipeline: stages,
     lastEventId: options.progress.lastEventId,
@@ -151,10 +151,10 @@
 async function readErrorAnswer(
   run: StreamRun,
   answer: OpenAnswer,
-  options: { readonly facts: AnswerFacts; readonly parts: StreamParts },
+  options: { readonly facts: AnswerMetadata; readonly parts: StreamParts },
 ): Promise<RunEnd> {
   const { facts, parts } = options;
-  const body = await readWhole(answer);
+  const body = await readBody(answer);
   if (!facts.notRun) return { kind: "failed", answer, body };
   const faultyServer = facts.faultyStage
     ? parts.fleet.byAddress(facts.faultyStage)
@@ -166,7 +166,7 @@
     answer.status === MISDIRECTED_REQUEST &&
     !facts.faultyStage
   ) {
-    parts.fleet.replaced(faultyServer.id);
+    parts.fleet.markReplaced(faultyServer.id);
   } else if (faultyServer) {
     run.avoided.add(faultyServer.id);
     parts.fleet.recheck(faultyServer.id);
--- a/packages/gateway/src/streams/usage_destinations.ts
+++ b/packages/gateway/src/streams/usage_destinations.ts
@@ -15,7 +15,7 @@
  * sampled peer of another domain wouldn't represent the rest of it: full
  * engines on which that peer has no answers would look free.
  */
-export function chooseToldPeers(
+export function chooseUsageDestinations(
   failureDomain: string,
   livePeers: readonly LiveInstance[],
 ): Address[] {
--- a/packages/gateway/src/streams/usage_destinations_test.ts
+++ b/packages/gateway/src/streams/usage_destinations_test.ts
@@ -1,6 +1,6 @@
 import { describe, expect, it } from "vitest";
 import type { LiveInstance } from "../following/mod.ts";
-import { chooseToldPeers } from "./usage_destinations.ts";
+import { chooseUsageDestinations } from "./usage_destinations.ts";
 
 function instances(sizes: Readonly<Record<string, number>>): LiveInstance[] {
   return Object.entries(sizes).flatMap(([failureDomain, size]) =>
@@ -13,7 +13,7 @@
 
 /** Hosts to which an instance of domain `a` sends reports. */
 function destinationHosts(others: readonly LiveInstance[]): string[] {
-  return chooseToldPeers("a", others).map(({ host }) => host);
+  return chooseUsageDestinations("a", others).map(({ host }) => host);
 }
 
 describe("usage destinations", () => {
--- a/packages/gateway/src/streams/usage_exchange.ts
+++ b/packages/gateway/src/streams/usage_exchange.ts
@@ -55,15 +55,15 @@
 export interface UsageExchangeOptions {
   readonly transport: DatagramTransport;
   readonly instance: string;
-  readonly use: EngineUsage;
+  readonly usage: EngineUsage;
   /** Addresses of the peers that receive reports. */
   readonly peers: () => readonly Address[];
   readonly signal: AbortSignal;
 }
 
 /** Sends and receives reports until the signal aborts. */
-export function startUseExchange(options: UsageExchangeOptions): void {
-  const { transport, instance, use, peers, signal } = options;
+export function startUsageExchange(options: UsageExchangeOptions): void {
+  const { transport, instance, usage, peers, signal } = options;
   const startedAt = Date.now();
   const sequenceFilter = createSequenceFilter();
   const budget = createByteBudget({
@@ -78,7 +78,7 @@
   let unreadableLoggedAt = -Infinity;
   const localChange = createAlarm();
   transport.onDatagram(receive);
-  use.onChanged(localChange.ring);
+  usage.onChanged(localChange.ring);
   void runSendLoop();
 
   async function runSendLoop(): Promise<void> {
@@ -98,8 +98,8 @@
    * that the budget did not allow, or 0 when all were sent.
    */
   function sendToDuePeers(): number {
-    if (hasSignificantChange(use.localLoads(), loadsAtLastChange)) {
-      loadsAtLastChange = new Map(use.localLoads());
+    if (hasSignificantChange(usage.localLoads(), loadsAtLastChange)) {
+      loadsAtLastChange = new Map(usage.localLoads());
       lastChangeAt = performance.now();
     }
     const dueTargets = findDuePeers();
@@ -138,7 +138,7 @@
       from: instance,
       sequence,
       startedAt,
-      use: selectMostUsed(use.localLoads()),
+      use: selectMostUsed(usage.localLoads()),
     };
     return Buffer.from(
       JSON.stringify({ jsonrpc: "2.0", method: METHOD, params }),
@@ -153,7 +153,7 @@
       id,
       { held, unread },
     ]);
-    use.recordPeerLoads(params.from, new Map(loads));
+    usage.recordPeerLoads(params.from, new Map(loads));
   }
 
   function logUnreadableDatagram(bytes: number): void {
--- a/packages/gateway/src/streams/usage_exchange_test.ts
+++ b/packages/gateway/src/streams/usage_exchange_test.ts
@@ -1,7 +1,7 @@
 import type { DatagramTransport } from "@rosemarypin/membership";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { createEngineUse, type EngineUsage } from "./engine_usage.ts";
-import { startUseExchange } from "./usage_exchange.ts";
+import { createEngineUsage, type EngineUsage } from "./engine_usage.ts";
+import { startUsageExchange } from "./usage_exchange.ts";
 
 const END = new AbortController();
 
@@ -39,11 +39,11 @@
 function start(hosts: readonly string[]) {
   const network = createNetwork();
   const usages = hosts.map((instance) => {
-    const usage = createEngineUse();
-    startUseExchange({
+    const usage = createEngineUsage();
+    startUsageExchange({
       transport: network.transport(instance),
       instance,
-      use: usage,
+      usage,
       peers: () =>
         hosts
           .filter((host) => host !== instance)
--- a/packages/pipelines/src/engine_capacity.ts
+++ b/packages/pipelines/src/engine_capacity.ts
@@ -6,7 +6,7 @@
 /**
  * Returns the KV cache capacity, in tokens, of an engine with `layers` layers.
  */
-export function roomTokens(
+export function kvCapacityTokens(
   model: ModelShape,
   { memoryMb, layers }: { readonly memoryMb: number; readonly layers: number },
 ): number {
--- a/packages/pipelines/src/gap_filling.ts
+++ b/packages/pipelines/src/gap_filling.ts
@@ -119,7 +119,7 @@
   ): Neighbour | undefined {
     const choices = draft.group.flatMap((engine) => {
       const range = draft.held(engine);
-      if (!range || !engine.orderable || !isAdjacent(range)) return [];
+      if (!range || !engine.acceptsOrders || !isAdjacent(range)) return [];
       const retained =
         mayRelease && !draft.hasOrder(engine)
           ? withoutRedundantLayers(draft, engine, range, isBefore)
@@ -161,7 +161,7 @@
 function shiftCapacityTowards(draft: PlanDraft, gap: LayerRange): void {
   const choices = draft.group.flatMap((engine) => {
     const range = draft.held(engine);
-    if (!range || !engine.orderable || draft.hasOrder(engine)) return [];
+    if (!range || !engine.acceptsOrders || draft.hasOrder(engine)) return [];
     const isBefore = range.to <= gap.from;
     if (!isBefore && range.from < gap.to) return [];
     const distance = isBefore ? gap.from - range.to : range.from - gap.to;
@@ -198,7 +198,8 @@
   return draft.group
     .filter((engine) => {
       const range = draft.held(engine);
-      if (!engine.orderable || !range || draft.hasOrder(engine)) return false;
+      if (!engine.acceptsOrders || !range || draft.hasOrder(engine))
+        return false;
       return layersOf(range).every((layer) =>
         draft.isServedByOthers(engine, layer),
       );
--- a/packages/pipelines/src/group_plan.ts
+++ b/packages/pipelines/src/group_plan.ts
@@ -84,7 +84,7 @@
     const layout = chooseLayout(idle, model, {
       maxEngines: idle.length - reserveCount(group),
       minKvTokens,
-      maxKvTokens: tokensForAnswers(model, model.mostAnswers),
+      maxKvTokens: tokensForAnswers(model, model.maxConcurrentAnswers),
     });
     if (!layout) return;
     let from = 0;
--- a/packages/pipelines/src/group_sizing.ts
+++ b/packages/pipelines/src/group_sizing.ts
@@ -31,7 +31,7 @@
 
 /** Returns the tokens of `answers` answers of mean length, prompts included. */
 export function tokensForAnswers(model: ModelShape, answers: number): number {
-  return answers * (model.usualPromptTokens + model.usualAnswerTokens);
+  return answers * (model.meanPromptTokens + model.meanAnswerTokens);
 }
 
 /** Returns the minimum KV cache capacity of an engine, in tokens. */
@@ -47,7 +47,7 @@
   const layout = chooseLayout(group, model, {
     maxEngines: group.length - reserveCount(group),
     minKvTokens: minCapacityTokens(model),
-    maxKvTokens: tokensForAnswers(model, model.mostAnswers),
+    maxKvTokens: tokensForAnswers(model, model.maxConcurrentAnswers),
   });
   return layout?.tokens ?? minCapacityTokens(model);
 }
--- a/packages/pipelines/src/layer_layout.ts
+++ b/packages/pipelines/src/layer_layout.ts
@@ -1,5 +1,5 @@
 /** Divides the layers of a model among engines without layers. */
-import { maxLayersWithCapacity, roomTokens } from "./engine_capacity.ts";
+import { kvCapacityTokens, maxLayersWithCapacity } from "./engine_capacity.ts";
 import { idleLayerMs, STAGE_OVERHEAD_MS } from "./stage_time.ts";
 import type { EngineInfo, ModelShape } from "./types.ts";
 
@@ -67,7 +67,7 @@
   const choices = new Set<number>();
   for (const memoryMb of sizes) {
     for (let layers = 1; layers <= model.layerCount; layers += 1) {
-      const tokens = roomTokens(model, { memoryMb, layers });
+      const tokens = kvCapacityTokens(model, { memoryMb, layers });
       if (tokens > 0) choices.add(tokens);
     }
   }
--- a/packages/pipelines/src/layer_layout_test.ts
+++ b/packages/pipelines/src/layer_layout_test.ts
@@ -10,10 +10,10 @@
   layerMb: 1_750,
   tokenLayerBytes: 10_567,
   stepMs: 1,
-  readTokensPerMs: 160,
-  usualPromptTokens: 774,
-  usualAnswerTokens: 210,
-  mostAnswers: 134,
+  prefillTokensPerMs: 160,
+  meanPromptTokens: 774,
+  meanAnswerTokens: 210,
+  maxConcurrentAnswers: 134,
 };
 
 const KINDS = {
--- a/packages/pipelines/src/layer_plan.ts
+++ b/packages/pipelines/src/layer_plan.ts
@@ -21,7 +21,7 @@
   model: ModelShape,
 ): LayerOrder[] {
   return groupEngines(engines, model).flatMap((group) => {
-    if (!group.some(({ orderable }) => orderable)) return [];
+    if (!group.some(({ acceptsOrders }) => acceptsOrders)) return [];
     const others = engines.filter((engine) => !group.includes(engine));
     const servedElsewhere = countHolders(
       others.flatMap(({ serving }) => serving ?? []),
--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { describe, expect, it } from "vitest";
-import { maxLayersWithCapacity, roomTokens } from "./engine_capacity.ts";
+import { kvCapacityTokens, maxLayersWithCapacity } from "./engine_capacity.ts";
 import { planLayers } from "./layer_plan.ts";
 import type { PlannedEngine } from "./plan_draft.ts";
 import type { LayerRange, ModelShape } from "./types.ts";
@@ -11,10 +11,10 @@
   layerMb: 1_750,
   tokenLayerBytes: 10_567,
   stepMs: 0.85,
-  readTokensPerMs: 160,
-  usualPromptTokens: 772,
-  usualAnswerTokens: 174,
-  mostAnswers: 134,
+  prefillTokensPerMs: 160,
+  meanPromptTokens: 772,
+  meanAnswerTokens: 174,
+  maxConcurrentAnswers: 134,
 };
 
 const KINDS = {
@@ -34,7 +34,7 @@
     failureDomain: "a",
     held: null,
     serving: null,
-    orderable: true,
+    acceptsOrders: true,
     ...KINDS[kind],
     ...facts,
   };
@@ -187,7 +187,10 @@
       }),
     );
     const capacityOf = ({ memoryMb, held }: PlannedEngine) =>
-      roomTokens(model, { memoryMb, layers: held ? held.to - held.from : 0 });
+      kvCapacityTokens(model, {
+        memoryMb,
+        layers: held ? held.to - held.from : 0,
+      });
     const lowestCapacity = () => Math.min(...current.map(capacityOf));
     const before = lowestCapacity();
     for (let round = 0; round < 12; round += 1) {
@@ -208,7 +211,7 @@
     if (!first?.held) throw new Error("the first engine has no layers");
     const joining = createEngine("medium-9", "medium", {
       held: first.held,
-      orderable: false,
+      acceptsOrders: false,
     });
     const gap = others.slice(0, -1);
     const orders = planLayers([first, joining, ...gap], model);
@@ -257,7 +260,7 @@
   it("returns no order for an engine with an order in progress", () => {
     const engines = fleet({ medium: 1, small: 8, tiny: 3 }).map((engine) => ({
       ...engine,
-      orderable: engine.id !== "small-3",
+      acceptsOrders: engine.id !== "small-3",
     }));
     const orders = planLayers(engines, model);
     expect(orders.map(({ engineId }) => engineId)).not.toContain("small-3");
@@ -272,7 +275,7 @@
       failureDomain: fc.constantFrom("a", "b", "c"),
       from: fc.integer({ min: 0, max: 79 }),
       layers: fc.integer({ min: 0, max: 8 }),
-      orderable: fc.boolean(),
+      acceptsOrders: fc.boolean(),
       serves: fc.boolean(),
     });
     const property = fc.property(
@@ -281,7 +284,7 @@
         const engines = entries.map((entry, index) =>
           createEngine(`e-${index}`, entry.kind, {
             failureDomain: entry.failureDomain,
-            orderable: entry.orderable,
+            acceptsOrders: entry.acceptsOrders,
             held:
               entry.layers === 0
                 ? null
@@ -408,7 +411,10 @@
   it("is divided between weights and KV cache", () => {
     const memoryMb = KINDS.small.memoryMb;
     const layers = maxLayersWithCapacity(model, { memoryMb, tokens: 20_000 });
-    expect({ layers, room: roomTokens(model, { memoryMb, layers }) }).toEqual({
+    expect({
+      layers,
+      room: kvCapacityTokens(model, { memoryMb, layers }),
+    }).toEqual({
       layers: 11,
       room: 20_217,
     });
--- a/packages/pipelines/src/layer_planner_test.ts
+++ b/packages/pipelines/src/layer_planner_test.ts
@@ -10,10 +10,10 @@
   layerMb: 1_000,
   tokenLayerBytes: 1_000,
   stepMs: 8,
-  readTokensPerMs: 10,
-  usualPromptTokens: 100,
-  usualAnswerTokens: 100,
-  mostAnswers: 10,
+  prefillTokensPerMs: 10,
+  meanPromptTokens: 100,
+  meanAnswerTokens: 100,
+  maxConcurrentAnswers: 10,
 };
 
 function createEngine(id: string, change: Partial<PlannedEngine> = {}) {
@@ -25,7 +25,7 @@
     readFactor: 1,
     held: null,
     serving: null,
-    orderable: true,
+    acceptsOrders: true,
     ...change,
   };
 }
@@ -41,7 +41,7 @@
 
 it.each<[string, Partial<PlannedEngine>]>([
   ["holds other layers", { held: { from: 0, to: 2 } }],
-  ["accepts no orders", { orderable: false }],
+  ["accepts no orders", { acceptsOrders: false }],
   ["has a different memory size", { memoryMb: 12_000 }],
 ])("computes a new layer plan when an engine %s", (_name, change) => {
   const plan = createLayerPlanner();
@@ -53,7 +53,7 @@
 
 it("returns no orders for engines that accept none", () => {
   const engines = ["1", "2"].map((id) =>
-    createEngine(id, { orderable: false }),
+    createEngine(id, { acceptsOrders: false }),
   );
   expect(planLayers(engines, MODEL)).toEqual([]);
 });
--- a/packages/pipelines/src/pipeline_path_test.ts
+++ b/packages/pipelines/src/pipeline_path_test.ts
@@ -14,10 +14,10 @@
   layerMb: 100,
   tokenLayerBytes: 1_000,
   stepMs: 6,
-  readTokensPerMs: 160,
-  usualPromptTokens: 10,
-  usualAnswerTokens: 10,
-  mostAnswers: 134,
+  prefillTokensPerMs: 160,
+  meanPromptTokens: 10,
+  meanAnswerTokens: 10,
+  maxConcurrentAnswers: 134,
 };
 
 function createStage(
--- a/packages/pipelines/src/plan_draft.ts
+++ b/packages/pipelines/src/plan_draft.ts
@@ -1,5 +1,5 @@
 /** Holds the layers of a group's engines while a plan is computed. */
-import { maxLayersWithCapacity, roomTokens } from "./engine_capacity.ts";
+import { kvCapacityTokens, maxLayersWithCapacity } from "./engine_capacity.ts";
 import { minCapacityTokens, targetCapacityTokens } from "./group_sizing.ts";
 import { countHolders } from "./layer_coverage.ts";
 import {
@@ -14,7 +14,7 @@
   /** Layers that it serves now; `held` is the range of the last order. */
   readonly serving: LayerRange | null;
   /** Whether it accepts orders; false while an earlier one is in progress. */
-  readonly orderable: boolean;
+  readonly acceptsOrders: boolean;
 }
 
 /** Instructs an engine to hold exactly the layers of a range. */
@@ -79,7 +79,7 @@
   const orders = new Map<string, LayerOrder>();
   for (const { id, held } of group) if (held) holds.set(id, held);
   const idle = group
-    .filter(({ held, orderable }) => held === null && orderable)
+    .filter(({ held, acceptsOrders }) => held === null && acceptsOrders)
     .filter((engine) => targetLayers(engine) > 0)
     .sort(compareSpeed);
 
@@ -108,7 +108,7 @@
       for (const { id, memoryMb } of group) {
         const range = holds.get(id);
         if (!range) continue;
-        const capacity = roomTokens(model, {
+        const capacity = kvCapacityTokens(model, {
           memoryMb,
           layers: layersIn(range),
         });
@@ -120,7 +120,10 @@
     },
     capacityWith({ engine, retained }, more) {
       const { memoryMb } = engine;
-      return roomTokens(model, { memoryMb, layers: layersIn(retained) + more });
+      return kvCapacityTokens(model, {
+        memoryMb,
+        layers: layersIn(retained) + more,
+      });
     },
     isServedByOthers({ id }, layer) {
       return group.some((other) => {
--- a/packages/pipelines/src/stage_rebalancing.ts
+++ b/packages/pipelines/src/stage_rebalancing.ts
@@ -20,7 +20,7 @@
  */
 export function rebalanceStage(draft: PlanDraft, engine: PlannedEngine): void {
   const range = draft.held(engine);
-  if (!range || !engine.orderable || draft.hasOrder(engine)) return;
+  if (!range || !engine.acceptsOrders || draft.hasOrder(engine)) return;
   const capacity = draft.capacityWith({ engine, retained: range }, 0);
   if (capacity >= draft.tokens * LOW_CAPACITY_SHARE) return;
   const trimmedRange = withoutRedundantEdges(draft, engine, range);
@@ -28,7 +28,7 @@
     return draft.assign(engine, trimmedRange);
   const neighbours = draft.group.flatMap((other) => {
     const held = draft.held(other);
-    if (!held || !other.orderable || draft.hasOrder(other)) return [];
+    if (!held || !other.acceptsOrders || draft.hasOrder(other)) return [];
     const isBefore = held.from < range.from && held.to === range.from;
     const isAfter = held.to > range.to && held.from === range.to;
     if (!isBefore && !isAfter) return [];
--- a/packages/pipelines/src/stage_time.ts
+++ b/packages/pipelines/src/stage_time.ts
@@ -19,10 +19,10 @@
  * Returns the prefill time on an idle engine, in milliseconds. `tokenLayers` is
  * the sum of prompt tokens times the layers that process them.
  */
-export function readMs(
-  { readTokensPerMs, layerCount }: ModelShape,
+export function prefillMs(
+  { prefillTokensPerMs, layerCount }: ModelShape,
   prompts: { readonly readFactor: number; readonly tokenLayers: number },
 ): number {
   const { readFactor, tokenLayers } = prompts;
-  return (tokenLayers * readFactor) / (readTokensPerMs * layerCount);
+  return (tokenLayers * readFactor) / (prefillTokensPerMs * layerCount);
 }
--- a/packages/pipelines/src/types.ts
+++ b/packages/pipelines/src/types.ts
@@ -17,13 +17,13 @@
   /** Duration of one decode step through all layers, in milliseconds. */
   readonly stepMs: number;
   /** Prefill rate through all layers, in prompt tokens per millisecond. */
-  readonly readTokensPerMs: number;
+  readonly prefillTokensPerMs: number;
   /** Mean prompt length, in tokens. */
-  readonly usualPromptTokens: number;
+  readonly meanPromptTokens: number;
   /** Mean number of generated tokens per answer. */
-  readonly usualAnswerTokens: number;
+  readonly meanAnswerTokens: number;
   /** Maximum number of concurrent answers on an engine as first stage. */
-  readonly mostAnswers: number;
+  readonly maxConcurrentAnswers: number;
 }
 
 /** An engine's location, memory, speed and layers. */
