--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -3,7 +3,7 @@
 import type { BackendServer, EngineReport } from "../backend_server.ts";
 import { createBackendFleet } from "../backends/mod.ts";
 import type { ConfigurationKeeper } from "../following/mod.ts";
-import type { EngineCalls, OrderAnswer, PlaceOrder } from "../protocol.ts";
+import type { EngineCalls, OrderOutcome, PlaceOrder } from "../protocol.ts";
 import { startPlacement } from "./placement_loop.ts";
 
 beforeEach(() => {
@@ -20,10 +20,10 @@
     layerMb: 100,
     tokenLayerBytes: 1_000,
     stepMs: 1,
-    readTokensPerMs: 100,
-    usualPromptTokens: 10,
-    usualAnswerTokens: 10,
-    mostAnswers: 4,
+    prefillTokensPerMs: 100,
+    meanPromptTokens: 10,
+    meanAnswerTokens: 10,
+    maxConcurrentAnswers: 4,
   },
   kinds: new Map([
     ["card", { name: "card", memoryMb: 900, stepFactor: 1, readFactor: 1 }],
@@ -44,18 +44,18 @@
   orderCount: null,
 } as unknown as BackendServer;
 
-/** One engine, and an instance that may order it. */
+/** Starts the placement loop with a fake engine and all leases held. */
 function setUp() {
-  const ending = new AbortController();
-  const { signal } = ending;
+  const controller = new AbortController();
+  const { signal } = controller;
   const report = { startedAt: 1, orderCount: 3, busy: false, held: null };
   const orders: PlaceOrder[] = [];
-  let orderMs = 0;
+  let orderDurationMs = 0;
   const engines = {
     report: async () => ({ ...report }) as unknown as EngineReport,
-    async place(_: BackendServer, order: PlaceOrder): Promise<OrderAnswer> {
+    async place(_: BackendServer, order: PlaceOrder): Promise<OrderOutcome> {
       orders.push(order);
-      if (orderMs > 0) await pause(orderMs);
+      if (orderDurationMs > 0) await pause(orderDurationMs);
       if (report.busy) return { kind: "conflict", detail: "busy" };
       return { kind: "accepted" };
     },
@@ -65,20 +65,20 @@
   const keeper = {
     applied: () => ({ services: new Map([["model", service]]) }),
   } as unknown as ConfigurationKeeper;
-  startPlacement({ keeper, fleet, engines, signal, rightFor: () => 1 });
+  startPlacement({ keeper, fleet, engines, signal, fencingNumberFor: () => 1 });
   return {
     fleet,
     report,
     orders,
-    orderTakes(ms: number) {
-      orderMs = ms;
+    setOrderDuration(ms: number) {
+      orderDurationMs = ms;
     },
-    end: () => ending.abort(),
+    end: () => controller.abort(),
   };
 }
 
-describe("the placement of layers", () => {
-  it("orders an engine that holds nothing, once", async () => {
+describe("placement loop", () => {
+  it("sends one order to an engine without layers", async () => {
     const { fleet, orders, end } = setUp();
     fleet.put(ENGINE);
     await vi.advanceTimersByTimeAsync(2_000);
@@ -86,8 +86,8 @@
     end();
   });
 
-  // Guards against a new holder of the right that undoes a load in progress.
-  it("leaves an engine alone that carries out another's order", async () => {
+  // Guards against a new lease holder that aborts a load in progress.
+  it("sends no order to an engine that executes another instance's order", async () => {
     const { fleet, report, orders, end } = setUp();
     report.busy = true;
     fleet.put(ENGINE);
@@ -99,14 +99,14 @@
     end();
   });
 
-  // Guards against layers that stay missing for another second.
-  it("plans at once what changed while an order was on its way", async () => {
-    const { fleet, orders, orderTakes, end } = setUp();
+  // Guards against missing layers that wait for the next planning interval.
+  it("replans at once after a change while an order was being sent", async () => {
+    const { fleet, orders, setOrderDuration, end } = setUp();
     const half = { ...ENGINE, kind: "half" };
     fleet.put({ ...half, id: "e-0", held: { from: 4, to: 6 } });
     fleet.put({ ...half, id: "e-1", held: { from: 0, to: 4 } });
     fleet.put({ ...half, id: "e-2" });
-    orderTakes(300);
+    setOrderDuration(300);
     await vi.advanceTimersByTimeAsync(200);
     fleet.remove("e-1");
     fleet.put({ ...half, id: "e-3" });
@@ -118,8 +118,8 @@
     end();
   });
 
-  // Guards against orders that are refused ten times a second.
-  it("waits for the end of a load that it learns of by a conflict", async () => {
+  // Guards against repeated orders, each refused with a conflict.
+  it("waits for the end of a load after an order is refused as busy", async () => {
     const { fleet, report, orders, end } = setUp();
     fleet.put({ ...ENGINE, orderCount: 3 });
     report.busy = true;
--- a/packages/gateway/src/streams/stall_detector_test.ts
+++ b/packages/gateway/src/streams/stall_detector_test.ts
@@ -21,23 +21,25 @@
 const EVENT_EVERY_MS = 40;
 
 function setUp() {
-  const dead = new Set<string>();
-  const asked: string[] = [];
-  const away: string[] = [];
+  const deadEngines = new Set<string>();
+  const probedEngines: string[] = [];
+  const suspectedEngines: string[] = [];
   let stalled: EngineReport["stalled"] = [];
   let reportAfterMs = 2;
 
   const engines = {
     async report(address: string, timeoutMs: number) {
       const id = address.split(":")[0] ?? "";
-      asked.push(id);
-      const waitMs = dead.has(id) ? timeoutMs : reportAfterMs;
+      probedEngines.push(id);
+      const waitMs = deadEngines.has(id) ? timeoutMs : reportAfterMs;
       await new Promise((resolve) => setTimeout(resolve, waitMs));
-      return dead.has(id) ? null : ({ stalled } as unknown as EngineReport);
+      return deadEngines.has(id)
+        ? null
+        : ({ stalled } as unknown as EngineReport);
     },
   } as unknown as EngineCalls;
   const fleet = {
-    detector: { away: (id: string) => away.push(id) },
+    detector: { reportFailure: (id: string) => suspectedEngines.push(id) },
     putReport: () => {},
     byAddress: (address: string) => ({ id: address.split(":")[0] }),
   } as unknown as BackendFleet;
@@ -53,7 +55,7 @@
   const stalls: [string, Stall][] = [];
   const followers: AnswerFollower[] = [];
 
-  /** Follows some answers with an event each 40 ms, spread evenly. */
+  /** Follows answers that each have an event every 40 ms, spread evenly. */
   async function stream(answers: number, forMs: number): Promise<void> {
     while (followers.length < answers) {
       const requestId = `r${followers.length}`;
@@ -67,15 +69,15 @@
     }
     const stepMs = EVENT_EVERY_MS / answers;
     for (let step = 0; step < forMs / stepMs; step += 1) {
-      followers[step % answers]?.heard();
+      followers[step % answers]?.onEvent();
       await vi.advanceTimersByTimeAsync(stepMs);
     }
   }
 
   return {
-    dead,
-    asked,
-    away,
+    deadEngines,
+    probedEngines,
+    suspectedEngines,
     stalls,
     followers,
     stream,
@@ -92,67 +94,69 @@
   };
 }
 
-describe("a pipeline whose answers all fall silent", () => {
-  it("has the engine found that does not respond, for all of them", async () => {
-    const { dead, stalls, away, stream, silence, end } = setUp();
+describe("stall detection on a pipeline without events", () => {
+  it("finds the unresponsive engine for all answers", async () => {
+    const { deadEngines, stalls, suspectedEngines, stream, silence, end } =
+      setUp();
     await stream(10, 1_000);
-    dead.add("second");
+    deadEngines.add("second");
     await silence(200);
-    expect(away).toEqual(["second"]);
+    expect(suspectedEngines).toEqual(["second"]);
     expect(stalls.length).toBe(10);
     const kinds = new Set(stalls.map(([, stall]) => JSON.stringify(stall)));
     expect([...kinds]).toEqual(['{"kind":"stage","address":"second:1"}']);
     end();
   });
 
-  it("is not checked while events come as usual", async () => {
-    const { asked, stream, end } = setUp();
+  it("probes no engine while events arrive regularly", async () => {
+    const { probedEngines, stream, end } = setUp();
     await stream(10, 3_000);
-    expect(asked).toEqual([]);
+    expect(probedEngines).toEqual([]);
     end();
   });
 
-  it("is left alone when all engines respond", async () => {
-    const { stalls, away, stream, silence, end } = setUp();
+  it("reports no stall when all engines respond", async () => {
+    const { stalls, suspectedEngines, stream, silence, end } = setUp();
     await stream(10, 1_000);
     await silence(1_500);
     expect(stalls).toEqual([]);
-    expect(away).toEqual([]);
+    expect(suspectedEngines).toEqual([]);
     end();
   });
 
-  // Guards against engines that turn slow and are then asked all the time.
-  it("is asked seldom while it only runs slowly", async () => {
-    const { asked, stalls, followers, stream, silence, end } = setUp();
+  // Guards against probing engines all the time once they become slow.
+  it("backs off while engines are only slow", async () => {
+    const { probedEngines, stalls, followers, stream, silence, end } = setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 40; pause += 1) {
       await silence(500);
-      for (const follower of followers) follower.heard();
+      for (const follower of followers) follower.onEvent();
     }
     expect(stalls).toEqual([]);
-    expect(asked.length).toBeLessThan(100);
+    expect(probedEngines.length).toBeLessThan(100);
     end();
   });
 
-  it("is checked soon again once it ran as usual for a while", async () => {
-    const { dead, away, followers, stream, silence, end } = setUp();
+  it("resets the backoff after a period of regular events", async () => {
+    const { deadEngines, suspectedEngines, followers, stream, silence, end } =
+      setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 10; pause += 1) {
       await silence(500);
-      for (const follower of followers) follower.heard();
+      for (const follower of followers) follower.onEvent();
     }
     await stream(10, 3_000);
-    dead.add("second");
+    deadEngines.add("second");
     await silence(200);
-    expect(away).toEqual(["second"]);
+    expect(suspectedEngines).toEqual(["second"]);
     end();
   });
 
-  it("tells of its first engine when that one is lost", async () => {
-    const { dead, stalls, stream, silence, end } = setUp();
+  it("reports the first engine when it is lost with another", async () => {
+    const { deadEngines, stalls, stream, silence, end } = setUp();
     await stream(4, 1_000);
-    dead.add("first");
-    dead.add("third");
+    deadEngines.add("first");
+    deadEngines.add("third");
     await silence(200);
     expect(stalls.map(([, { kind }]) => kind)).toEqual(
       new Array(4).fill("first_engine"),
@@ -160,41 +164,42 @@
     end();
   });
 
-  it("is left alone when events come while engines are asked", async () => {
-    const { dead, stalls, away, stream, silence, end } = setUp();
+  it("reports no stall when events arrive during the check", async () => {
+    const { deadEngines, stalls, suspectedEngines, stream, silence, end } =
+      setUp();
     await stream(10, 1_000);
-    dead.add("second");
+    deadEngines.add("second");
     await silence(120);
     await stream(10, 100);
     expect(stalls).toEqual([]);
-    expect(away).toEqual([]);
+    expect(suspectedEngines).toEqual([]);
     end();
   });
 
-  it("is not judged while this process was held up itself", async () => {
-    const { dead, asked, stalls, stream, end } = setUp();
+  it("reports no stall after this process was blocked", async () => {
+    const { deadEngines, probedEngines, stalls, stream, end } = setUp();
     await stream(10, 1_000);
-    dead.add("second");
+    deadEngines.add("second");
     const now = performance.now.bind(performance);
     vi.spyOn(performance, "now").mockImplementation(() => now() + 3_000);
     await vi.advanceTimersToNextTimerAsync();
-    // What was sent meanwhile is read now.
+    // Events that arrived while the process was blocked are read now.
     await stream(10, 100);
-    expect(asked).not.toContain("second");
+    expect(probedEngines).not.toContain("second");
     expect(stalls).toEqual([]);
     vi.restoreAllMocks();
     end();
   });
 });
 
-describe("an answer that stands still alone", () => {
-  it("has its first engine asked, which names the stage", async () => {
+describe("stall detection of a single answer", () => {
+  it("finds the stage by the report of the first engine", async () => {
     const { stallOf, stalls, followers, silence, stream, end } = setUp();
     await stream(3, 1_000);
     stallOf("r0", "third:1");
     for (let step = 0; step < 30; step += 1) {
-      followers[1]?.heard();
-      followers[2]?.heard();
+      followers[1]?.onEvent();
+      followers[2]?.onEvent();
       await silence(20);
     }
     expect(stalls[0]).toEqual(["r0", { kind: "stage", address: "third:1" }]);
@@ -202,15 +207,22 @@
     end();
   });
 
-  it("is not given up for one report that came late", async () => {
-    const { slowReports, dead, stalls, followers, silence, stream, end } =
-      setUp();
+  it("ignores one report that arrives late", async () => {
+    const {
+      slowReports,
+      deadEngines,
+      stalls,
+      followers,
+      silence,
+      stream,
+      end,
+    } = setUp();
     await stream(3, 1_000);
     slowReports(1);
-    dead.add("first");
+    deadEngines.add("first");
     for (let step = 0; step < 30; step += 1) {
-      followers[1]?.heard();
-      followers[2]?.heard();
+      followers[1]?.onEvent();
+      followers[2]?.onEvent();
       await silence(20);
     }
     expect(stalls).toEqual([]);
@@ -218,17 +230,17 @@
   });
 });
 
-it("an answer without a first event has all engines asked", async () => {
-  const { dead, stalls, asked, silence, stream, end } = setUp();
-  dead.add("third");
+it("stall detection probes all engines of an answer without events", async () => {
+  const { deadEngines, stalls, probedEngines, silence, stream, end } = setUp();
+  deadEngines.add("third");
   void stream(1, 0);
   await silence(400);
-  expect(new Set(asked)).toEqual(new Set(STAGES));
+  expect(new Set(probedEngines)).toEqual(new Set(STAGES));
   expect(stalls[0]).toEqual(["r0", { kind: "stage", address: "third:1" }]);
   end();
 });
 
-it("wakes seldom while answers come as usual", async () => {
+it("stall detection rarely wakes up while events arrive regularly", async () => {
   const { stream, end } = setUp();
   const timers = vi.spyOn(globalThis, "setTimeout");
   await stream(10, 1_000);
