--- a/packages/bench/src/placement/split_rates.ts
+++ b/packages/bench/src/placement/split_rates.ts
@@ -70,8 +70,8 @@
   const held = stages.map(() => 0);
   let left = model.layers;
   while (left > 0) {
-    const free = stages.flatMap(({ largestLayers }, index) =>
-      (held[index] ?? 0) < largestLayers ? [index] : [],
+    const free = stages.flatMap(({ maxLayers }, index) =>
+      (held[index] ?? 0) < maxLayers ? [index] : [],
     );
     const least = free.reduce((a, b) =>
       (held[b] ?? 0) < (held[a] ?? 0) ? b : a,
--- a/packages/placement/src/engine_kinds.ts
+++ b/packages/placement/src/engine_kinds.ts
@@ -42,7 +42,7 @@
     id: engine.id,
     layerMs: engine.layerMs * model.layerCost,
     fixedMs: engine.fixedMs,
-    largestLayers: maxLayersOn(engine, model),
+    maxLayers: maxLayersOn(engine, model),
   };
 }
 
@@ -100,7 +100,7 @@
     memoryCoverage(model, group) {
       const all = splitEnginesOf(model);
       const capacity = group.reduce(
-        (sum, kind) => sum + (all[kind]?.largestLayers ?? 0),
+        (sum, kind) => sum + (all[kind]?.maxLayers ?? 0),
         0,
       );
       return Math.min(1, capacity / model.layers);
--- a/packages/placement/src/layer_split.ts
+++ b/packages/placement/src/layer_split.ts
@@ -12,7 +12,7 @@
   /** Fixed time per batch, link included, in milliseconds. */
   readonly fixedMs: number;
   /** Number of layers that fit into its memory. */
-  readonly largestLayers: number;
+  readonly maxLayers: number;
 }
 
 /** Stages that together hold each layer once, in order. */
@@ -27,7 +27,7 @@
   const layers = Math.floor(
     (limitMs - engine.fixedMs) / engine.layerMs + ROUNDING_TOLERANCE,
   );
-  return Math.max(0, Math.min(engine.largestLayers, layers));
+  return Math.max(0, Math.min(engine.maxLayers, layers));
 }
 
 /** Absorbs floating-point error before a quotient is rounded down. */
@@ -51,7 +51,7 @@
     let fastestMs = Infinity;
     engines.forEach((engine, index) => {
       const layerCount = (assigned[index] ?? 0) + 1;
-      if (layerCount > engine.largestLayers) return;
+      if (layerCount > engine.maxLayers) return;
       const timeMs = engine.fixedMs + layerCount * engine.layerMs;
       if (timeMs >= fastestMs) return;
       fastestIndex = index;
--- a/packages/placement/src/layer_split_test.ts
+++ b/packages/placement/src/layer_split_test.ts
@@ -11,9 +11,9 @@
 
 /** Three kinds of accelerator, on links that differ a hundredfold. */
 const kinds = [
-  { layerMs: 1, fixedMs: 4.1, largestLayers: 12 },
-  { layerMs: 1.6, fixedMs: 5, largestLayers: 8 },
-  { layerMs: 2.8, fixedMs: 14, largestLayers: 6 },
+  { layerMs: 1, fixedMs: 4.1, maxLayers: 12 },
+  { layerMs: 1.6, fixedMs: 5, maxLayers: 8 },
+  { layerMs: 2.8, fixedMs: 14, maxLayers: 6 },
 ] as const;
 
 const engineList = fc
@@ -34,7 +34,7 @@
   if (layers === 0) return 0;
   if (!first) return Infinity;
   let best = Infinity;
-  for (let count = 0; count <= Math.min(layers, first.largestLayers); count++) {
+  for (let count = 0; count <= Math.min(layers, first.maxLayers); count++) {
     const countMs = count === 0 ? 0 : first.fixedMs + count * first.layerMs;
     best = Math.min(
       best,
