--- a/packages/backends/src/engine_client.ts
+++ b/packages/backends/src/engine_client.ts
@@ -1,4 +1,4 @@
-/** Client of one model engine's interface. */
+/** HTTP client for the interface of engines. */
 import {
   type Address,
   type AttemptRequest,
@@ -19,29 +19,29 @@
 } from "./transport_failure.ts";
 
 const CALL_TIMEOUT_MS = 1_000;
-/** The status with which an engine says that it did not start. */
+/** Status of an engine that did not start the attempt. */
 const REFUSED_STATUS = 409;
 
-/** How the start of an attempt went. */
+/** Result of the start of an attempt. */
 export type AttemptStart =
   | { readonly kind: "started"; readonly events: AsyncIterable<EngineEvent> }
-  /** The engine itself said that it did not start. */
+  /** The engine reported that it did not start the attempt. */
   | {
       readonly kind: "refused";
       readonly reason: string;
-      /** Whether a later attempt, of any instance, has the answer. */
+      /** Whether a later attempt, of any instance, runs the answer. */
       readonly takenOver?: boolean;
     }
   | TransportFailure;
 
-/** How an order went. */
+/** Result of an order. */
 export type OrderResult =
   | { readonly kind: "ok"; readonly state: EngineState }
   /** The engine has seen a higher fencing number. */
   | { readonly kind: "fenced"; readonly detail: string }
   | TransportFailure;
 
-/** The calls that engines answer. */
+/** The calls to an engine. */
 export interface EngineClient {
   start(
     address: Address,
@@ -57,14 +57,14 @@
   ): Promise<EngineState | null>;
 }
 
-/** What an engine says of an answer that another instance ran. */
+/** Result of a lookup of an answer that another instance ran. */
 export type ParkedAnswerResult =
   | { readonly kind: "found"; readonly answer: ParkedAnswer }
-  /** The engine answers, and has nothing of the answer. */
+  /** The engine responded, but does not have the answer. */
   | { readonly kind: "unknown" }
   | { readonly kind: "unreachable" };
 
-/** Reads answers that another instance began. */
+/** Reads answers that another instance started. */
 export interface ParkedAnswers {
   readAnswer(address: Address, requestId: string): Promise<ParkedAnswerResult>;
 }
@@ -102,8 +102,8 @@
           return readRefusal(await response.body.text());
         }
         if (response.statusCode !== 200) {
-          // An engine that broke while it started may have run some of it;
-          // only its own refusal makes `not_run` true.
+          // An engine that failed during the start may have run part of it.
+          // Only an explicit refusal proves `not_run`.
           const detail = `status ${response.statusCode}`;
           await response.body.dump();
           return { kind: "broken", detail };
@@ -120,7 +120,7 @@
         const response = await post(address, path, { body: {}, signal });
         await response.body.dump();
       } catch {
-        // The engine is gone, and its work with it.
+        // The engine is unreachable; the cancellation is best effort.
       }
     },
     async order(address, order) {
@@ -180,7 +180,10 @@
   }
 }
 
-/** Splits the engine's stream into lines; throws when the stream breaks. */
+/**
+ * Parses the engine's stream of JSON lines. Throws when the stream breaks or a
+ * line is not a valid event.
+ */
 async function* readEvents(
   body: AsyncIterable<Buffer>,
 ): AsyncGenerator<EngineEvent> {
--- a/packages/backends/src/engine_client_test.ts
+++ b/packages/backends/src/engine_client_test.ts
@@ -25,15 +25,16 @@
 };
 
 /**
- * Only an engine's own refusal, or no connection at all, proves that nothing
- * ran. Anything else taken for a refusal would become a false `not_run`.
+ * Only an engine's explicit refusal, or a failure to connect, proves that
+ * nothing ran. Any other failure read as a refusal would become a false
+ * `not_run`.
  */
-describe("how the start of an attempt is understood", () => {
+describe("engine client, result of starting an attempt", () => {
   const rows: [string, number, string, string][] = [
-    ["its own refusal", 409, '{"error":"leaving"}', "refused"],
-    ["an error after it may have begun", 500, "{}", "broken"],
-    ["a proxy's refusal", 503, "", "broken"],
-    ["a started attempt", 200, "", "started"],
+    ["refused for the engine's refusal", 409, '{"error":"leaving"}', "refused"],
+    ["broken for an error after a possible start", 500, "{}", "broken"],
+    ["broken for a proxy's refusal", 503, "", "broken"],
+    ["started for a started attempt", 200, "", "started"],
   ];
   test.each(rows)("%s", async (_name, status, body, kind) => {
     server = createServer((_request, response) => {
@@ -48,7 +49,7 @@
     expect(start.kind).toBe(kind);
   });
 
-  test("reset before an answer", async () => {
+  test("broken for a reset before the response", async () => {
     server = createServer((request) => request.socket.destroy());
     const address = await listen(server);
     const { signal } = new AbortController();
@@ -58,7 +59,7 @@
     expect(start.kind).toBe("broken");
   });
 
-  test("connection refused", async () => {
+  test("not sent for a refused connection", async () => {
     const closed = createServer();
     const address = await listen(closed);
     await new Promise((resolve) => closed.close(resolve));
--- a/packages/backends/src/engine_contract_test.ts
+++ b/packages/backends/src/engine_contract_test.ts
@@ -15,7 +15,7 @@
 
 const HOST = "127.0.0.1";
 const LAYERS = { from: 0, to: 4 };
-const HELD = { model: "assist", version: "v1", layers: LAYERS };
+const HELD_LAYERS = { model: "assist", version: "v1", layers: LAYERS };
 const SPEED = {
   batchMs: 1,
   layerMicros: 0,
@@ -64,8 +64,8 @@
   return address;
 }
 
-/** An engine that answers whatever `answer` writes. */
-async function startOther(
+/** Starts a server that responds with whatever `answer` writes. */
+async function startFaulty(
   answer: (response: ServerResponse) => void,
 ): Promise<Address> {
   const server = createServer((request, response) => {
@@ -97,10 +97,10 @@
 }
 
 function orderOf(fencingNumber: number): EngineOrder {
-  return { fencingNumber, noteNumber: 1, hold: [HELD], adapters: [] };
+  return { fencingNumber, noteNumber: 1, hold: [HELD_LAYERS], adapters: [] };
 }
 
-/** How a start ended: the events it gave, and whether the stream broke. */
+/** Starts an attempt; returns its events and whether the stream broke. */
 async function start(
   address: Address,
   change: Partial<AttemptRequest> = {},
@@ -120,30 +120,30 @@
   }
 }
 
-describe("an engine and its client", () => {
+describe("engine client with an engine", () => {
   let address: Address;
   beforeEach(async () => {
     address = await startStandIn(true);
     expect(await client.order(address, orderOf(5))).toMatchObject({
       kind: "ok",
-      state: { held: [HELD], fencingNumber: 5 },
+      state: { held: [HELD_LAYERS], fencingNumber: 5 },
     });
   });
 
-  it("stream an answer to its end", async () => {
+  it("streams an answer to its end", async () => {
     const { events } = await start(address);
     expect(events).toEqual(["started", "token", "token", "token", "done"]);
   });
 
   const refusals: [string, Partial<AttemptRequest>, string][] = [
     ["a version that is not held", { version: "v2" }, "refused"],
-    ["an attempt that is no attempt", { maxTokens: -1 }, "broken"],
+    ["an invalid attempt", { maxTokens: -1 }, "broken"],
   ];
-  it.each(refusals)("do not start %s", async (_what, change, kind) => {
+  it.each(refusals)("does not start %s", async (_what, change, kind) => {
     expect(await start(address, change)).toMatchObject({ kind, events: [] });
   });
 
-  it("refuse an older attempt, and say that a later one ran", async () => {
+  it("reports an older attempt as refused and taken over by a later one", async () => {
     await start(address);
     const { signal } = new AbortController();
     const older = attemptAt(address, { attempt: 1 });
@@ -151,7 +151,7 @@
     expect(result).toMatchObject({ kind: "refused", takenOver: true });
   });
 
-  it("refuse new work once the engine leaves, and say so", async () => {
+  it("reports an attempt at a leaving engine as refused", async () => {
     const url = `http://${address.host}:${address.port}/leave`;
     await fetch(url, { method: "POST" });
     expect(await start(address)).toMatchObject({ kind: "refused" });
@@ -160,12 +160,12 @@
   });
 });
 
-/** Some deployments' engines ignore the number: nothing may rest on it. */
+/** Engines of some deployments ignore the fencing number. */
 it.each([
-  ["checks", true, "fenced", 5],
-  ["ignores the number", false, "ok", 4],
+  ["checks fencing numbers", true, "fenced", 5],
+  ["ignores fencing numbers", false, "ok", 4],
 ] as const)(
-  "an old order to an engine that %s",
+  "engine client, order with an old fencing number to an engine that %s",
   async (_what, checksFencing, kind, number) => {
     const address = await startStandIn(checksFencing);
     await client.order(address, orderOf(5));
@@ -180,11 +180,11 @@
   '{"type":"token","attempt":2,"index":0,"text":"a","digest":"d"}\n';
 
 /**
- * A stream that breaks must not read as one that ended: the caller would get
- * half an answer for a whole one. Nothing of a line that cannot be read is
- * handed on, for it might be half a token.
+ * A stream that breaks must not look like one that ended, or the caller would
+ * get half an answer as a complete one. No part of an unreadable line is passed
+ * on, since it might be half a token.
  */
-describe("a stream that goes wrong", () => {
+describe("engine client with a faulty stream", () => {
   it.each([
     ["reset", [STARTED, TOKEN], true, ["started", "token"]],
     ["garbage line", [STARTED, "no json\n"], true, ["started"]],
@@ -192,7 +192,7 @@
     ["token without index", [TOKEN.replace('"index":0,', "")], true, []],
     ["lines in pieces", [STARTED.slice(0, 9), STARTED.slice(9)], false, null],
   ] as const)("%s", async (what, chunks, broke, events) => {
-    const address = await startOther((response) => {
+    const address = await startFaulty((response) => {
       response.writeHead(200);
       for (const chunk of chunks) response.write(chunk);
       if (what === "reset") setTimeout(() => response.destroy(), 50);
@@ -204,8 +204,8 @@
   });
 });
 
-/** What is not understood is never taken for a state, nor for "done". */
-describe("an engine that answers something else", () => {
+/** An unexpected response is never taken for a state, nor for a success. */
+describe("engine client with an unexpected response", () => {
   const rows: [string, (response: ServerResponse) => void, string][] = [
     ["409", (response) => response.writeHead(409).end("{}"), "fenced"],
     ["500", (response) => response.writeHead(500).end("{}"), "broken"],
@@ -214,15 +214,18 @@
     ["reset", (response) => response.destroy(), "broken"],
     ["silence", () => {}, "broken"],
   ];
-  it.each(rows)("%s, to an order", async (_what, answer, kind) => {
-    const address = await startOther(answer);
-    expect((await client.order(address, orderOf(1))).kind).toBe(kind);
-    expect(await client.readState(address, { timeoutMs: 200 })).toBeNull();
-    const parked = await client.readAnswer(address, "answer-1");
-    expect(parked.kind).not.toBe("found");
-  });
-
-  it("nothing, as no process listens", async () => {
+  it.each(rows)(
+    "reports a failed order and reads no state for %s",
+    async (_what, answer, kind) => {
+      const address = await startFaulty(answer);
+      expect((await client.order(address, orderOf(1))).kind).toBe(kind);
+      expect(await client.readState(address, { timeoutMs: 200 })).toBeNull();
+      const parked = await client.readAnswer(address, "answer-1");
+      expect(parked.kind).not.toBe("found");
+    },
+  );
+
+  it("reports an order as not sent when no process listens", async () => {
     const address = await freeAddress();
     const result = await client.order(address, orderOf(1));
     expect(result).toMatchObject({ kind: "not_sent", refused: true });
--- a/packages/backends/src/engine_fleet.ts
+++ b/packages/backends/src/engine_fleet.ts
@@ -1,57 +1,57 @@
-/** What this instance knows of the engines it may use. */
+/** Tracks the state of the engines that this instance may use. */
 import type { EngineSettings, EngineState } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 import type { EngineClient } from "./engine_client.ts";
 import type { EngineSubset } from "./engine_subset.ts";
-import { readIntervalMs, SHORTEST_INTERVAL_MS } from "./read_interval.ts";
+import { MIN_READ_INTERVAL_MS, readIntervalMs } from "./read_interval.ts";
 
-/** After this long without an answer, nothing new goes to an engine. */
+/** Age of the last state after which an engine gets no new work. */
 const STALE_AFTER_MS = 2_000;
-/** A third of what control may use on a node goes to watched engines. */
+/** Read budget for watched engines: a third of a node's control traffic. */
 const WATCH_BYTES_PER_SECOND = 1_000;
 /**
- * Watched engines are read no later than this, whatever the budget says: with
- * few instances, each watches many engines, and one that leaves would get new
- * work until its turn came.
+ * Maximum interval between reads of a watched engine, regardless of budget.
+ * With few instances, each watches many engines, and an engine that is leaving
+ * would get new work until its next read.
  */
-const LONGEST_WATCH_MS = 4_000;
-/** Reads of other used engines only make up for a lost notice. */
+const MAX_WATCH_INTERVAL_MS = 4_000;
+/** Read budget for other used engines; their reads only cover lost notices. */
 const FALLBACK_BYTES_PER_SECOND = 250;
-/** Longest time between reads of an engine that is lost. */
-const LONGEST_RETRY_MS = 8_000;
-/** A notice reaches all instances at once; their reads are spread. */
-const SPREAD_MS = 500;
+/** Maximum interval between reads of a lost engine. */
+const MAX_RETRY_INTERVAL_MS = 8_000;
+/** Spreads the reads of all instances that receive the same notice. */
+const NOTICE_JITTER_MS = 500;
 
 const log = createLogger("backends");
 
-/** One engine, as last heard. */
+/** An engine with its last known state. */
 export interface KnownEngine {
   readonly settings: EngineSettings;
-  /** `null` until the engine has answered once. */
+  /** `null` until the first successful read. */
   readonly state: EngineState | null;
   /** Whether new work may go to the engine. */
   readonly usable: boolean;
-  /** Attempts of this instance that run on the engine. */
+  /** Number of attempts of this instance that run on the engine. */
   readonly inFlight: number;
 }
 
-/** The engines that this instance uses, with facts about each. */
+/** The engines that this instance uses, with their state. */
 export interface EngineFleet {
   engines(): readonly KnownEngine[];
-  /** Takes in a state that another call brought. */
+  /** Applies a state that was returned by another call. */
   observe(state: EngineState): void;
-  /** Marks an engine as not to be used until it answers again. */
+  /** Marks an engine unusable until its next successful read. */
   reportLost(engine: string): void;
-  /** Counts an attempt on each engine; returns how to end the count. */
+  /** Counts an attempt on each engine; returns a function that ends it. */
   occupy(engines: readonly string[]): () => void;
   stop(): void;
 }
 
-/** Takes notices of changes that other instances found. */
-export interface EngineNoticeTaker {
+/** Receives notices of changes that other instances detected. */
+export interface EngineNoticeReceiver {
   /**
-   * Reads these engines again soon. A notice carries no state: two of them
-   * may come in the wrong order, and one may come from a cut-off instance.
+   * Schedules a read of these engines. A notice carries no state, since notices
+   * may be reordered, and may come from an instance cut off from the engine.
    */
   recheck(engines: readonly string[]): void;
 }
@@ -59,9 +59,12 @@
 export interface EngineFleetOptions {
   readonly engines: readonly EngineSettings[];
   readonly client: EngineClient;
-  /** What to use and to watch; without it, all engines are watched. */
+  /** Engines to use and to watch; by default, all engines are watched. */
   readonly subset?: () => EngineSubset;
-  /** Called when a watched engine has changed what may be asked of it. */
+  /**
+   * Called when a watched engine is lost or recovers, or when the part of its
+   * state that matters for routing has changed.
+   */
   readonly onChanged?: (engine: string) => void;
 }
 
@@ -71,31 +74,31 @@
   heardAt: number;
   inFlight: number;
   isReading: boolean;
-  /** Unanswered reads in a row, or lost calls. */
+  /** Consecutive failed reads; at least 1 after a reported loss. */
   failures: number;
   nextReadAt: number;
 }
 
-/** Starts to read the state of each engine that is used. */
+/** Starts to poll the state of each used engine. */
 export function createEngineFleet(
   options: EngineFleetOptions,
-): EngineFleet & EngineNoticeTaker {
+): EngineFleet & EngineNoticeReceiver {
   const entries = new Map<string, Entry>(
-    options.engines.map((settings) => [settings.id, newEntry(settings)]),
+    options.engines.map((settings) => [settings.id, createEntry(settings)]),
   );
-  const all = new Set(entries.keys());
-  const everything = { used: all, watched: all, isWhole: true };
-  let subset: EngineSubset = everything;
-  let watchMs = SHORTEST_INTERVAL_MS;
-  let fallbackMs = SHORTEST_INTERVAL_MS;
-  const timer = setInterval(readDue, SHORTEST_INTERVAL_MS);
+  const allIds = new Set(entries.keys());
+  const wholeSubset = { used: allIds, watched: allIds, isWhole: true };
+  let subset: EngineSubset = wholeSubset;
+  let watchIntervalMs = MIN_READ_INTERVAL_MS;
+  let fallbackIntervalMs = MIN_READ_INTERVAL_MS;
+  const timer = setInterval(readDue, MIN_READ_INTERVAL_MS);
   readDue();
 
   function readDue(): void {
-    followSubset();
-    // Timers fire a little early or late; half a tick keeps an engine that is
-    // due now from waiting for the next one.
-    const due = performance.now() + SHORTEST_INTERVAL_MS / 2;
+    updateSubset();
+    // Timers fire slightly early or late. The tolerance of half a tick keeps an
+    // engine that is due now from waiting for the next tick.
+    const due = performance.now() + MIN_READ_INTERVAL_MS / 2;
     for (const id of subset.used) {
       const entry = entries.get(id);
       if (!entry || entry.isReading || entry.nextReadAt > due) continue;
@@ -103,27 +106,30 @@
     }
   }
 
-  function followSubset(): void {
-    const next = options.subset?.() ?? everything;
+  function updateSubset(): void {
+    const next = options.subset?.() ?? wholeSubset;
     if (next === subset) return;
     for (const id of next.watched) {
-      if (!isWatched(id)) beginToWatch(id);
+      if (!isWatched(id)) startWatching(id);
     }
     subset = next;
     if (next.isWhole) return;
     const others = next.used.size - next.watched.size;
     const watchBudget = { bytesPerSecond: WATCH_BYTES_PER_SECOND };
-    watchMs = Math.min(
-      LONGEST_WATCH_MS,
+    watchIntervalMs = Math.min(
+      MAX_WATCH_INTERVAL_MS,
       readIntervalMs(next.watched.size, watchBudget),
     );
-    fallbackMs = readIntervalMs(others, {
+    fallbackIntervalMs = readIntervalMs(others, {
       bytesPerSecond: FALLBACK_BYTES_PER_SECOND,
     });
   }
 
-  /** Its last word may be old, but nothing has spoken against it since. */
-  function beginToWatch(id: string): void {
+  /**
+   * Schedules an immediate read. An engine without failures stays usable until
+   * then, although its last state may be older than watching allows.
+   */
+  function startWatching(id: string): void {
     const entry = entries.get(id);
     if (!entry) return;
     entry.nextReadAt = 0;
@@ -132,59 +138,64 @@
 
   async function refresh(entry: Entry): Promise<void> {
     entry.isReading = true;
-    // Set before the call, so that a slow answer delays no later read.
+    // Set before the call, so that a slow response does not delay later reads.
     entry.nextReadAt = performance.now() + intervalOf(entry);
     const state = await options.client.readState(entry.settings.address);
     entry.isReading = false;
-    if (state) take(entry, state);
-    else failed(entry);
+    if (state) applyState(entry, state);
+    else recordFailure(entry);
   }
 
   function intervalOf(entry: Entry): number {
     const { failures, settings } = entry;
-    const usualMs = isWatched(settings.id) ? watchMs : fallbackMs;
-    if (failures === 0) return usualMs;
-    const retryMs = SHORTEST_INTERVAL_MS * 2 ** Math.min(failures, 8);
-    return Math.min(usualMs, LONGEST_RETRY_MS, retryMs);
+    const intervalMs = isWatched(settings.id)
+      ? watchIntervalMs
+      : fallbackIntervalMs;
+    if (failures === 0) return intervalMs;
+    const retryMs = MIN_READ_INTERVAL_MS * 2 ** Math.min(failures, 8);
+    return Math.min(intervalMs, MAX_RETRY_INTERVAL_MS, retryMs);
   }
 
   function isWatched(engine: string): boolean {
     return subset.watched.has(engine);
   }
 
-  function take(entry: Entry, state: EngineState): void {
+  function applyState(entry: Entry, state: EngineState): void {
     if (!isUsable(entry)) {
       log.info("engine_heard", { engine: entry.settings.id });
     }
-    const isNews = entry.failures > 0 || hasChanged(entry.state, state);
+    const mustNotify = entry.failures > 0 || hasChanged(entry.state, state);
     entry.state = state;
     entry.heardAt = performance.now();
     entry.failures = 0;
-    if (isNews) tell(entry);
+    if (mustNotify) notifyChange(entry);
   }
 
-  function failed(entry: Entry): void {
+  function recordFailure(entry: Entry): void {
     entry.failures += 1;
-    if (entry.failures === 1) tell(entry);
+    if (entry.failures === 1) notifyChange(entry);
   }
 
-  function tell({ settings }: Entry): void {
+  function notifyChange({ settings }: Entry): void {
     if (!subset.isWhole && isWatched(settings.id)) {
       options.onChanged?.(settings.id);
     }
   }
 
   /**
-   * Silence makes a watched engine unusable, since it is read often. Others
-   * are read so seldom that silence says nothing: calls that fail, or the
-   * read that a watcher's notice causes, show that one is lost.
+   * Whether new work may go to an engine. A watched engine is read often and
+   * becomes unusable when its state is stale. Other engines are read too rarely
+   * for that: failed calls, or failed reads after a watcher's notice, show that
+   * such an engine is lost.
    */
   function isUsable(entry: Entry): boolean {
     if (entry.state === null || entry.state.leaving) return false;
-    const silentMs = performance.now() - entry.heardAt;
-    if (silentMs === Infinity) return false;
+    const sinceStateMs = performance.now() - entry.heardAt;
+    if (sinceStateMs === Infinity) return false;
     if (!isWatched(entry.settings.id)) return entry.failures === 0;
-    return silentMs < STALE_AFTER_MS + watchMs - SHORTEST_INTERVAL_MS;
+    return (
+      sinceStateMs < STALE_AFTER_MS + watchIntervalMs - MIN_READ_INTERVAL_MS
+    );
   }
 
   return {
@@ -199,7 +210,7 @@
         })),
     observe(state) {
       const entry = entries.get(state.engine);
-      if (entry) take(entry, state);
+      if (entry) applyState(entry, state);
     },
     reportLost(engine) {
       const entry = entries.get(engine);
@@ -213,25 +224,25 @@
       for (const id of engines) {
         const entry = entries.get(id);
         if (!entry) continue;
-        const soon = performance.now() + Math.random() * SPREAD_MS;
+        const soon = performance.now() + Math.random() * NOTICE_JITTER_MS;
         entry.nextReadAt = Math.min(entry.nextReadAt, soon);
       }
     },
     occupy(engines) {
-      const taken = engines.flatMap((id) => entries.get(id) ?? []);
-      for (const entry of taken) entry.inFlight += 1;
+      const occupied = engines.flatMap((id) => entries.get(id) ?? []);
+      for (const entry of occupied) entry.inFlight += 1;
       let ended = false;
       return () => {
         if (ended) return;
         ended = true;
-        for (const entry of taken) entry.inFlight -= 1;
+        for (const entry of occupied) entry.inFlight -= 1;
       };
     },
     stop: () => clearInterval(timer),
   };
 }
 
-function newEntry(settings: EngineSettings): Entry {
+function createEntry(settings: EngineSettings): Entry {
   return {
     settings,
     state: null,
@@ -243,12 +254,12 @@
   };
 }
 
-/** Whether other instances have to know; load and what runs are not sent. */
+/** Whether others need a notice; load and running work are not compared. */
 function hasChanged(before: EngineState | null, after: EngineState): boolean {
-  return before !== null && routable(before) !== routable(after);
+  return before !== null && routingState(before) !== routingState(after);
 }
 
-function routable(state: EngineState): string {
+function routingState(state: EngineState): string {
   const { incarnation, leaving, held, adapters } = state;
   return JSON.stringify([incarnation, leaving, held, adapters]);
 }
--- a/packages/backends/src/engine_fleet_test.ts
+++ b/packages/backends/src/engine_fleet_test.ts
@@ -41,10 +41,10 @@
   return () => known.engines()[0]?.usable;
 }
 
-describe("an engine that leaves", () => {
-  it("gets nothing new within a second of saying so, then returns", async () => {
-    // The engine's own state decides, read twice a second; the platform's
-    // list is not asked, so it may be late or wrong in any way.
+describe("engine fleet, use of an engine", () => {
+  it("stops within a second of its leaving and resumes afterwards", async () => {
+    // Only the engine's own state counts, which is read twice a second. The
+    // platform's list is not used, so it may be late or wrong.
     let leaving = false;
     const isUsable = await createFleet(() => ({ ...state, leaving }));
     expect(isUsable()).toBe(true);
@@ -56,7 +56,7 @@
     expect(isUsable()).toBe(true);
   });
 
-  it("gets nothing new within seconds of falling silent", async () => {
+  it("stops within seconds when it no longer responds", async () => {
     let answer: EngineState | null = state;
     const isUsable = await createFleet(() => answer);
     answer = null;
@@ -65,7 +65,7 @@
   });
 });
 
-/** One of many instances: it uses a hundred engines and watches few. */
+/** Fleet of one of many instances: it uses 100 engines and watches few. */
 async function createSharedFleet(watchedIds = ["engine-1"]) {
   const ids = Array.from({ length: 100 }, (_, index) => `engine-${index + 1}`);
   const engines = ids.map((id, index) => ({
@@ -103,8 +103,8 @@
   return { fleet: shared, states, reads, changed, isUsable };
 }
 
-describe("an engine that many instances use", () => {
-  it("is read often by its watchers and seldom by others", async () => {
+describe("engine fleet shared by many instances", () => {
+  it("reads only watched engines within a minute", async () => {
     const { reads, isUsable } = await createSharedFleet();
     const first = reads.length;
     await vi.advanceTimersByTimeAsync(60_000);
@@ -113,9 +113,9 @@
     expect(isUsable("engine-2")).toBe(true);
   });
 
-  it("is told of by its watchers when it leaves, is lost and returns", async () => {
-    // An engine leaves. Instances that do not read it must hear of it within
-    // seconds, or they would send it new work until a call is refused.
+  it("notifies when a watched engine leaves, is lost and recovers", async () => {
+    // Instances that do not watch the engine must get a notice within seconds,
+    // or they would send it new work until a call is refused.
     const { states, changed } = await createSharedFleet();
     states.set("engine-1", { ...state, leaving: true });
     await vi.advanceTimersByTimeAsync(2_000);
@@ -127,9 +127,10 @@
     expect(changed).toEqual(["engine-1", "engine-1", "engine-1"]);
   });
 
-  it("is told of within seconds when few instances watch many", async () => {
-    // Four instances serve 72 engines and watch 24 each. By the budget alone
-    // each is read every 24 s, and a leaving one was known after up to 9.6 s.
+  it("notifies within seconds when few instances watch many engines", async () => {
+    // Four instances share 72 engines and watch 24 each. By the budget alone,
+    // each engine would be read every 24 s, and the others would learn that one
+    // is leaving after up to 9.6 s.
     const many = Array.from(
       { length: 24 },
       (_, index) => `engine-${index + 1}`,
@@ -141,16 +142,17 @@
     expect(changed).toEqual(["engine-24"]);
   });
 
-  it("is not told of when only its load changes", async () => {
+  it("does not notify when only the load of an engine changes", async () => {
     const { states, changed } = await createSharedFleet();
     states.set("engine-1", { ...state, load: 7 });
     await vi.advanceTimersByTimeAsync(4_000);
     expect(changed).toEqual([]);
   });
 
-  it("gets nothing new soon after another instance's notice", async () => {
-    // The engine is watched elsewhere and leaves. The notice names it, and it
-    // is read at once; a notice of a cut-off watcher changes nothing.
+  it("stops using an engine soon after another instance's notice", async () => {
+    // Another instance watches the engine, which is leaving. The notice causes
+    // a read. A notice without a change, as from a watcher that is cut off from
+    // the engine, has no effect.
     const { fleet: shared, states, isUsable } = await createSharedFleet();
     shared.recheck(["engine-2", "engine-of-a-newer-settings-file"]);
     await vi.advanceTimersByTimeAsync(1_500);
@@ -161,9 +163,9 @@
     expect(isUsable("engine-2")).toBe(false);
   });
 
-  it("is found lost by the calls that fail, and found again", async () => {
-    // Nobody tells that the engine died. The call that fails does, and from
-    // then on it is read often enough to be used again when it returns.
+  it("detects a lost engine by failed calls, and its recovery by reads", async () => {
+    // No notice reports that the engine died. A failed call does, and from then
+    // on it is read often enough to be used soon after its recovery.
     const { fleet: shared, states, isUsable } = await createSharedFleet();
     states.set("engine-2", null);
     shared.reportLost("engine-2");
--- a/packages/backends/src/engine_subset.ts
+++ b/packages/backends/src/engine_subset.ts
@@ -1,42 +1,43 @@
 /**
- * Which engines an instance uses, and which it watches for the others. With
- * all instances reading all engines, 340 of them would read 650 engines twice
- * a second each: 442,000 reads a second.
+ * Selects the engines that an instance uses, and those that it watches on
+ * behalf of all instances. If each of 340 instances read each of 650 engines
+ * twice a second, that would be 442,000 reads a second.
  */
 import type { EngineSettings } from "@rosemarypin/schemas";
 import xxhash from "xxhash-wasm";
 
-/** A deployment of this many engines is used whole by every instance. */
-const WHOLE_UP_TO = 64;
-/** Engines of each role that an instance uses, its own domain's first. */
+/** Up to this number of engines, every instance uses and watches all. */
+const MAX_WHOLE_ENGINES = 64;
+/** Engines used per role, those of the instance's own domain first. */
 const ENGINES_PER_ROLE = 4;
-/** Domains whose engines without roles an instance uses, its own first. */
-const PLACED_DOMAINS = 2;
-/** Instances that watch an engine, so that the loss of one leaves another. */
-const WATCHERS = 2;
+/** Domains whose engines without roles are used, the instance's own first. */
+const PLACED_DOMAIN_COUNT = 2;
+/** Instances that watch an engine, so that one remains if the other is lost. */
+const WATCHERS_PER_ENGINE = 2;
 
 const { h64 } = await xxhash();
 
-/** An instance as far as the choice of engines is concerned. */
+/** The attributes of an instance that determine its subset. */
 export interface SubsetMember {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** Engines by what one instance does with them. */
+/** Ids of the engines that one instance uses and watches. */
 export interface EngineSubset {
-  /** Engines that answers may use, the watched ones included. */
+  /** Engines that answers may use, including the watched ones. */
   readonly used: ReadonlySet<string>;
-  /** Engines whose changes this instance finds and tells. */
+  /** Engines that this instance polls, to notify others of changes. */
   readonly watched: ReadonlySet<string>;
-  /** Whether the deployment is so small that there is nothing to choose. */
+  /** Whether all engines are used and watched by every instance. */
   readonly isWhole: boolean;
 }
 
 /**
- * Chooses by rendezvous hashing, so that an instance that comes or goes moves
- * only its own share. What an instance uses depends on itself alone; what it
- * watches depends on who else is there, so that each engine has a watcher.
+ * Chooses by rendezvous hashing, so that an instance that joins or leaves moves
+ * only its own share. The engines that are chosen for use depend only on the
+ * instance itself. The watched engines depend on the other instances too, so
+ * that each engine has a watcher.
  */
 export function chooseEngines(
   engines: readonly EngineSettings[],
@@ -46,19 +47,19 @@
     readonly members: readonly SubsetMember[];
   },
 ): EngineSubset {
-  if (engines.length <= WHOLE_UP_TO) {
-    const all = new Set(engines.map(({ id }) => id));
-    return { used: all, watched: all, isWhole: true };
+  if (engines.length <= MAX_WHOLE_ENGINES) {
+    const allIds = new Set(engines.map(({ id }) => id));
+    return { used: allIds, watched: allIds, isWhole: true };
   }
   const { self, members } = options;
   const watched = engines
     .filter((engine) => isWatcher(self, { engine, members }))
     .map(({ id }) => id);
-  const fixed = engines.filter(({ roles }) => roles.length > 0);
-  const chosen = [...groupByRole(fixed).values()].flatMap((group) =>
-    nearest(group, self).map(({ id }) => id),
+  const withRoles = engines.filter(({ roles }) => roles.length > 0);
+  const chosen = [...groupByRole(withRoles).values()].flatMap((group) =>
+    chooseNearest(group, self).map(({ id }) => id),
   );
-  const placed = chooseDomains(engines, self).map(({ id }) => id);
+  const placed = choosePlacedEngines(engines, self).map(({ id }) => id);
   return {
     used: new Set([...chosen, ...placed, ...watched]),
     watched: new Set(watched),
@@ -67,27 +68,33 @@
 }
 
 /**
- * Engines without roles hold what placement gives them, and their pipelines
- * stay within a domain: a few of each domain would cover no model. So the
- * instance uses its own domain whole, and another in case that is lost.
+ * Chooses among the engines without roles, which hold the layers that placement
+ * assigns. Their pipelines stay within a domain, so a few engines of each
+ * domain would not cover any model. The instance uses all of its own domain,
+ * and all of another in case its own is lost.
  */
-function chooseDomains(
+function choosePlacedEngines(
   engines: readonly EngineSettings[],
   self: SubsetMember,
 ): readonly EngineSettings[] {
   const placed = engines.filter(({ roles }) => roles.length === 0);
-  const names = [...new Set(placed.map((engine) => engine.failureDomain))];
-  const isOwn = (domain: string) => (domain === self.failureDomain ? 0 : 1);
-  const chosen = names
+  const domains = [...new Set(placed.map((engine) => engine.failureDomain))];
+  const domainOrder = (domain: string) =>
+    domain === self.failureDomain ? 0 : 1;
+  const chosen = domains
     .sort(
       (a, b) =>
-        isOwn(a) - isOwn(b) || (rank(self.id, a) > rank(self.id, b) ? -1 : 1),
+        domainOrder(a) - domainOrder(b) ||
+        (rank(self.id, a) > rank(self.id, b) ? -1 : 1),
     )
-    .slice(0, PLACED_DOMAINS);
+    .slice(0, PLACED_DOMAIN_COUNT);
   return placed.filter((engine) => chosen.includes(engine.failureDomain));
 }
 
-/** Instances of the engine's own domain watch it; if there are none, all. */
+/**
+ * Whether the instance is among the highest-ranked candidates for an engine:
+ * the instances of the engine's domain, or all instances if it has none.
+ */
 function isWatcher(
   self: SubsetMember,
   options: {
@@ -96,14 +103,16 @@
   },
 ): boolean {
   const { engine, members } = options;
-  const near = members.filter(
+  const sameDomain = members.filter(
     ({ failureDomain }) => failureDomain === engine.failureDomain,
   );
-  const watchers = near.length > 0 ? near : members;
+  const watchers = sameDomain.length > 0 ? sameDomain : members;
   if (!watchers.some(({ id }) => id === self.id)) return false;
-  const own = rank(self.id, engine.id);
-  const before = watchers.filter(({ id }) => rank(id, engine.id) > own);
-  return before.length < WATCHERS;
+  const ownRank = rank(self.id, engine.id);
+  const higherRanked = watchers.filter(
+    ({ id }) => rank(id, engine.id) > ownRank,
+  );
+  return higherRanked.length < WATCHERS_PER_ENGINE;
 }
 
 function groupByRole(
@@ -119,16 +128,18 @@
   return groups;
 }
 
-function nearest(
+function chooseNearest(
   engines: readonly EngineSettings[],
   self: SubsetMember,
 ): readonly EngineSettings[] {
-  const isFar = (engine: EngineSettings) =>
+  const domainOrder = (engine: EngineSettings) =>
     engine.failureDomain === self.failureDomain ? 0 : 1;
   return engines
     .map((engine) => ({ engine, rank: rank(self.id, engine.id) }))
     .sort(
-      (a, b) => isFar(a.engine) - isFar(b.engine) || (a.rank > b.rank ? -1 : 1),
+      (a, b) =>
+        domainOrder(a.engine) - domainOrder(b.engine) ||
+        (a.rank > b.rank ? -1 : 1),
     )
     .slice(0, ENGINES_PER_ROLE)
     .map(({ engine }) => engine);
--- a/packages/backends/src/engine_subset_test.ts
+++ b/packages/backends/src/engine_subset_test.ts
@@ -29,8 +29,8 @@
 const chooseAll = (live: readonly SubsetMember[]) =>
   live.map((self) => chooseEngines(engines, { self, members: live }));
 
-describe("the engines of an instance", () => {
-  it("are all of them at today's size", () => {
+describe("engine subset", () => {
+  it("contains all engines of a small deployment", () => {
     const few = enginesOf(40, 3);
     for (const self of membersOf(4, 3)) {
       const subset = chooseEngines(few, { self, members: membersOf(4, 3) });
@@ -39,7 +39,7 @@
     }
   });
 
-  it("hold enough of each role, of its own domain where there are", () => {
+  it("contains engines of each role, from the own domain if possible", () => {
     for (const self of members.slice(0, 16)) {
       const { used, watched } = chooseEngines(engines, { self, members });
       const chosen = engines.filter(({ id }) => used.has(id));
@@ -57,9 +57,9 @@
     }
   });
 
-  it("without roles are those of whole domains, the own one first", () => {
-    // Placement keeps pipelines within a domain. Four engines of 650 that
-    // all have no role would cover no model, and every answer be refused.
+  it("contains engines without roles by whole domains, the own one first", () => {
+    // Placement keeps pipelines within a domain. Four of 650 engines without
+    // roles would not cover any model, and every answer would be refused.
     const placed = engines.map((engine) => ({ ...engine, roles: [] }));
     for (const self of members.slice(0, 16)) {
       const { used, watched } = chooseEngines(placed, { self, members });
@@ -81,7 +81,7 @@
     }
   });
 
-  it("leave no engine without two watchers and a user", () => {
+  it("gives each engine two watchers that also use it", () => {
     const watchers = new Map<string, number>();
     for (const { used, watched } of chooseAll(members)) {
       for (const id of watched) {
@@ -93,17 +93,17 @@
     expect(new Set(watchers.values())).toEqual(new Set([2]));
   });
 
-  it("are watched from elsewhere when a domain has lost its instances", () => {
-    // All instances of one domain are lost; its engines go on and are used
-    // from other domains, so somebody has to find out when one leaves.
+  it("watches engines from other domains when their own has no instances", () => {
+    // All instances of one domain are lost. Its engines are still used from
+    // other domains, so some instance must detect when one is leaving.
     const rest = members.filter((one) => one.failureDomain !== "domain-3");
     const watched = new Set(chooseAll(rest).flatMap((one) => [...one.watched]));
     expect(watched.size).toBe(650);
   });
 
-  it("change little when an instance goes", () => {
-    // 99 instances a day are replaced. If each moved all engines, windows and
-    // connections would start over at every instance each time.
+  it("changes little when an instance is removed", () => {
+    // 99 instances are replaced per day. If each replacement moved all engines,
+    // every instance would reset its windows and connections each time.
     const before = chooseAll(members);
     const after = chooseAll(members.slice(1));
     let moved = 0;
--- /dev/null
+++ b/packages/backends/src/leaving_servers_test.ts
@@ -0,0 +1,77 @@
+import { type InstanceList, instanceListSchema } from "@rosemarypin/schemas";
+import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
+import { createLeavingServers } from "./leaving_servers.ts";
+
+const address = { host: "127.0.0.1", port: 1 };
+const server = { id: "one", failureDomain: "a", address };
+
+function listWith(...states: ("live" | "leaving")[]): InstanceList {
+  const instances = states.map((state) => ({
+    id: "one",
+    kind: "service",
+    name: "dealer-app",
+    failureDomain: "a",
+    host: "127.0.0.1",
+    port: 1,
+    state,
+  }));
+  return instanceListSchema.parse({ instances });
+}
+
+beforeEach(() => void vi.useFakeTimers());
+afterEach(() => void vi.useRealTimers());
+
+/** Every combination of the platform's list and the server's own report. */
+const precedenceRows = [
+  { list: "live", own: true, said: listWith("live"), leaving: true },
+  { list: "leaving", own: false, said: listWith("leaving"), leaving: false },
+  { list: "nothing", own: true, said: listWith(), leaving: true },
+  { list: "nothing", own: false, said: listWith(), leaving: false },
+  { list: "live", own: null, said: listWith("live"), leaving: false },
+  { list: "leaving", own: null, said: listWith("leaving"), leaving: true },
+  { list: "no list", own: null, said: null, leaving: false },
+] as const;
+
+describe("leaving servers", () => {
+  it.each(precedenceRows)(
+    "list: $list, own report: $own -> $leaving",
+    (row) => {
+      const servers = createLeavingServers();
+      servers.takeList(row.said);
+      if (row.own !== null) servers.takeOwnWord("one", row.own);
+      expect(servers.isLeaving(server)).toBe(row.leaving);
+    },
+  );
+
+  it("prefers the operators' settings over all other sources", () => {
+    const servers = createLeavingServers();
+    servers.takeOwnWord("one", false);
+    servers.takeList(listWith("live"));
+    expect(servers.isLeaving({ ...server, leaving: true })).toBe(true);
+  });
+
+  it("excludes a leaving server that no longer responds", () => {
+    // The server reported that it was leaving and then stopped responding. The
+    // list shows it as live for many more seconds; a call to it would be lost.
+    const servers = createLeavingServers();
+    servers.takeList(listWith("live"));
+    servers.takeOwnWord("one", true);
+    vi.advanceTimersByTime(30_000);
+    expect(servers.isLeaving(server)).toBe(true);
+  });
+
+  it("prefers the server's report of its return over an old list", () => {
+    const servers = createLeavingServers();
+    servers.takeList(listWith("leaving"));
+    servers.takeOwnWord("one", true);
+    servers.takeOwnWord("one", false);
+    expect(servers.isLeaving(server)).toBe(false);
+  });
+
+  it("keeps the last list while none is available", () => {
+    const servers = createLeavingServers();
+    servers.takeList(listWith("leaving"));
+    servers.takeList(null);
+    expect(servers.isLeaving(server)).toBe(true);
+  });
+});
--- a/packages/backends/src/mod.ts
+++ b/packages/backends/src/mod.ts
@@ -1,8 +1,8 @@
-/** Clients of engines and of plain services. */
+/** Clients of engines and plain services, and the health of both. */
 export * from "./engine_client.ts";
 export * from "./engine_fleet.ts";
 export * from "./engine_subset.ts";
-export * from "./leaving.ts";
+export * from "./leaving_servers.ts";
 export * from "./read_interval.ts";
 export * from "./server_health.ts";
 export * from "./service_client.ts";
--- a/packages/backends/src/read_interval.ts
+++ b/packages/backends/src/read_interval.ts
@@ -1,16 +1,19 @@
-/** How often engines are read, so that the reads stay within a budget. */
+/** Interval of state reads that keeps them within a bandwidth budget. */
 
-/** Bytes of one read both ways: 605 of HTTP, measured, and the packets. */
+/** Bytes of one read in both directions: 605 of HTTP, and packet overhead. */
 export const BYTES_PER_READ = 1_000;
-/** Reads are never closer than this. */
-export const SHORTEST_INTERVAL_MS = 500;
+/** Minimum interval between two reads of an engine. */
+export const MIN_READ_INTERVAL_MS = 500;
 
-/** The interval at which `engines` take `bytesPerSecond`, one read each. */
+/**
+ * Returns the interval at which reading each of `engines` once takes
+ * `bytesPerSecond`, or the minimum interval if that is longer.
+ */
 export function readIntervalMs(
   engines: number,
   options: { readonly bytesPerSecond: number },
 ): number {
   const intervalMs =
     (engines * BYTES_PER_READ * 1_000) / options.bytesPerSecond;
-  return Math.max(SHORTEST_INTERVAL_MS, intervalMs);
+  return Math.max(MIN_READ_INTERVAL_MS, intervalMs);
 }
--- a/packages/backends/src/server_health.ts
+++ b/packages/backends/src/server_health.ts
@@ -1,17 +1,20 @@
-/** How much a server is trusted with, by how its last calls went. */
+/** Weights the servers of a service by the outcome of their recent calls. */
 
-const LOWEST_TRUST = 1 / 32;
-const FALL = 1 / 4;
-const RISE = 1.5;
-/** A call this much slower than the server's peers counts as a failure. */
+const MIN_WEIGHT = 1 / 32;
+const FAILURE_FACTOR = 1 / 4;
+const SUCCESS_FACTOR = 1.5;
+/**
+ * Factor over the average latency of the fastest other server above which a
+ * call counts as a failure.
+ */
 const SLOW_FACTOR = 8;
-/** Differences below this are noise. */
-const SLOW_FLOOR_MS = 250;
-const LATENCY_SHARE = 0.1;
+/** Calls below this duration never count as slow. */
+const MIN_SLOW_MS = 250;
+const LATENCY_SMOOTHING = 0.1;
 
-/** Trust in each server of a service. */
+/** Health weight of each server. */
 export interface ServerHealth {
-  /** A share from 1/32 to 1 of the calls that would be its turn. */
+  /** Share, from 1/32 to 1, of its regular calls that a server should get. */
   trust(server: string): number;
   succeeded(server: string, elapsedMs: number): void;
   failed(server: string): void;
@@ -23,12 +26,12 @@
 }
 
 /**
- * Creates full trust in all servers.
+ * Creates a record in which all servers have full weight.
  *
- * A server that fails falls to a quarter with each failure and climbs by
- * half with each success, so it comes back slowly: a server that has just
- * restarted, or lies that it is well, meets a few calls before it meets all.
- * Some trust always stays, since only calls can show that it is well again.
+ * Each failure cuts the weight of a server to a quarter, and each success
+ * raises it by half. The slow recovery sends only a few calls to a server that
+ * has just restarted or wrongly reports itself healthy. The weight never falls
+ * to zero, since only calls can show that the server has recovered.
  */
 export function createServerHealth(): ServerHealth {
   const entries = new Map<string, Entry>();
@@ -45,24 +48,25 @@
       .flatMap(([, { latencyMs }]) => latencyMs ?? []);
     if (others.length === 0) return false;
     const fastest = Math.min(...others);
-    return elapsedMs > Math.max(SLOW_FLOOR_MS, fastest * SLOW_FACTOR);
+    return elapsedMs > Math.max(MIN_SLOW_MS, fastest * SLOW_FACTOR);
   }
 
-  function fall(entry: Entry): void {
-    entry.trust = Math.max(LOWEST_TRUST, entry.trust * FALL);
+  function reduceWeight(entry: Entry): void {
+    entry.trust = Math.max(MIN_WEIGHT, entry.trust * FAILURE_FACTOR);
   }
 
   return {
     trust: (server) => entries.get(server)?.trust ?? 1,
     succeeded(server, elapsedMs) {
       const entry = entryOf(server);
-      const before = entry.latencyMs ?? elapsedMs;
-      entry.latencyMs = before + (elapsedMs - before) * LATENCY_SHARE;
-      if (isSlow(server, elapsedMs)) fall(entry);
-      else entry.trust = Math.min(1, entry.trust * RISE);
+      const previousMs = entry.latencyMs ?? elapsedMs;
+      entry.latencyMs =
+        previousMs + (elapsedMs - previousMs) * LATENCY_SMOOTHING;
+      if (isSlow(server, elapsedMs)) reduceWeight(entry);
+      else entry.trust = Math.min(1, entry.trust * SUCCESS_FACTOR);
     },
     failed(server) {
-      fall(entryOf(server));
+      reduceWeight(entryOf(server));
     },
   };
 }
--- a/packages/backends/src/service_client.ts
+++ b/packages/backends/src/service_client.ts
@@ -1,4 +1,4 @@
-/** Client of plain services behind rosemarypin. */
+/** HTTP client for the servers of plain services. */
 import { type Address, formatAddress } from "@rosemarypin/schemas";
 import { Agent, buildConnector, Client, type Dispatcher } from "undici";
 import {
@@ -7,14 +7,14 @@
 } from "./transport_failure.ts";
 
 const CONNECT_TIMEOUT_MS = 1_000;
-const LARGEST_ANSWER_BYTES = 8 * 1024 * 1024;
-/** A refusal with this header says that the server did not start the call. */
+const MAX_RESPONSE_BYTES = 8 * 1024 * 1024;
+/** Set on an error response when the server did not start the call. */
 const NOT_STARTED_HEADER = "x-not-started";
-/** An answer or refusal with this header comes from a leaving server. */
+/** Set on any response of a server that is leaving. */
 const LEAVING_HEADER = "x-leaving";
-const LOWEST_REFUSAL_STATUS = 400;
+const MIN_ERROR_STATUS = 400;
 
-/** A call as it goes to the service. */
+/** A call as it is sent to the service. */
 export interface ServiceRequest {
   readonly method: string;
   /** Path and query below the service's root. */
@@ -23,7 +23,7 @@
   readonly body: Buffer;
 }
 
-/** A whole answer of a service. */
+/** A complete response of a service. */
 export interface ServiceAnswer {
   readonly status: number;
   readonly contentType: string;
@@ -36,7 +36,7 @@
       readonly answer: ServiceAnswer;
       readonly leaving: boolean;
     }
-  /** The server itself said that it did not start the call. */
+  /** The server reported that it did not start the call. */
   | {
       readonly kind: "not_started";
       readonly detail: string;
@@ -46,11 +46,11 @@
 
 export interface SendOptions {
   readonly timeoutMs: number;
-  /** For calls that must not be repeated; see `sendFresh`. */
+  /** For calls that must not be repeated; see `sendOnNewConnection`. */
   readonly freshConnection?: boolean;
 }
 
-/** Sends one call to one server, once. */
+/** Sends a call to one server, without retries. */
 export interface ServiceClient {
   send(
     address: Address,
@@ -59,16 +59,16 @@
   ): Promise<ServiceResult>;
 }
 
-/** Creates a client that never repeats a call by itself. */
+/** Creates a client that never retries a call. */
 export function createServiceClient(): ServiceClient {
   const connect = buildConnector({ timeout: CONNECT_TIMEOUT_MS });
   const agent = new Agent({
     connect,
     pipelining: 1,
-    maxResponseSize: LARGEST_ANSWER_BYTES,
+    maxResponseSize: MAX_RESPONSE_BYTES,
   });
 
-  async function sendReused(
+  async function sendPooled(
     address: Address,
     call: ServiceRequest,
     { timeoutMs }: SendOptions,
@@ -81,15 +81,15 @@
   }
 
   /**
-   * Sends a call over a connection of its own.
+   * Sends a call over a new connection.
    *
-   * A kept connection that its server closes in the same moment resets the
-   * call before any answer: the server, which only restarted or timed an idle
-   * connection out, ran nothing, yet the call must count as one that may have
-   * run. On a connection of its own, all that fails before the connection
-   * stands is certain not to have run, whatever the error is called.
+   * A keep-alive connection may be closed by its server just as the call is
+   * sent. The server only restarted or timed out an idle connection, and ran
+   * nothing, yet the reset call has to count as one that may have run. With a
+   * new connection, a call that fails before the connection is established has
+   * certainly not run, whatever the error code.
    */
-  async function sendFresh(
+  async function sendOnNewConnection(
     address: Address,
     call: ServiceRequest,
     { timeoutMs }: SendOptions,
@@ -97,7 +97,7 @@
     let connected = false;
     const client = new Client(originOf(address), {
       pipelining: 0,
-      maxResponseSize: LARGEST_ANSWER_BYTES,
+      maxResponseSize: MAX_RESPONSE_BYTES,
       connect(options, callback) {
         connect(options, (...result) => {
           connected ||= result[0] === null;
@@ -120,7 +120,7 @@
 
   return {
     send(address, call, options) {
-      const send = options.freshConnection ? sendFresh : sendReused;
+      const send = options.freshConnection ? sendOnNewConnection : sendPooled;
       return send(address, call, options);
     },
   };
@@ -148,10 +148,10 @@
   const { headers, statusCode: status } = response;
   const body = Buffer.from(await response.body.arrayBuffer());
   const leaving = headers[LEAVING_HEADER] !== undefined;
-  const refused = headers[NOT_STARTED_HEADER] !== undefined;
-  // A success that also claims not to have started contradicts itself, and
-  // sending it elsewhere could run it twice: it counts as an answer.
-  if (refused && status >= LOWEST_REFUSAL_STATUS) {
+  const isNotStarted = headers[NOT_STARTED_HEADER] !== undefined;
+  // A success status contradicts the header. A retry on another server could
+  // run the call twice, so the response counts as an answer.
+  if (isNotStarted && status >= MIN_ERROR_STATUS) {
     return { kind: "not_started", detail: body.toString(), leaving };
   }
   const contentType = String(
--- a/packages/backends/src/service_fleet.ts
+++ b/packages/backends/src/service_fleet.ts
@@ -1,11 +1,11 @@
-/** The servers of plain services: which to use, and how each is doing. */
+/** Selects servers of plain services by their state and health. */
 import type {
   InstanceList,
   ServiceServer,
   ServiceSettings,
 } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
-import { createLeavingServers } from "./leaving.ts";
+import { createLeavingServers } from "./leaving_servers.ts";
 import { createServerHealth } from "./server_health.ts";
 import type {
   SendOptions,
@@ -14,24 +14,28 @@
   ServiceResult,
 } from "./service_client.ts";
 
-const HEALTH_EVERY_MS = 500;
-const HEALTH_TIMEOUT_MS = 1_000;
+const HEALTH_CHECK_INTERVAL_MS = 500;
+const HEALTH_CHECK_TIMEOUT_MS = 1_000;
 const OK = 200;
 const SERVER_ERROR = 500;
 
 const log = createLogger("backends");
 
-/** Servers of plain services. */
+/** The servers of all plain services. */
 export interface ServiceFleet {
-  /** Those of `servers` that may get new work, the trusted ones first. */
+  /**
+   * Returns the servers that are not leaving, in the order to try them. A
+   * server keeps its place with the probability of its health weight, and
+   * otherwise moves behind those that do.
+   */
   choose(servers: readonly ServiceServer[]): readonly ServiceServer[];
-  /** Sends one call once, and learns from how it went. */
+  /** Sends a call without retries, and records its outcome. */
   send(
     server: ServiceServer,
     request: ServiceRequest,
     options: SendOptions,
   ): Promise<ServiceResult>;
-  /** Takes in the platform's list; `null` when it cannot be had. */
+  /** Applies the platform's instance list; `null` if it is unavailable. */
   takeList(list: InstanceList | null): void;
   stop(): void;
 }
@@ -39,42 +43,48 @@
 export interface ServiceFleetOptions {
   readonly services: readonly ServiceSettings[];
   readonly client: ServiceClient;
-  /** A number from 0 to 1; seeded by tests and checks. */
+  /** Returns a number from 0 to 1; seeded by tests and checks. */
   readonly random?: () => number;
 }
 
-/** Starts to ask the servers that have a health path. */
+/** Starts health checks of the services that have a health path. */
 export function createServiceFleet(options: ServiceFleetOptions): ServiceFleet {
   const { services, client, random = Math.random } = options;
   const health = createServerHealth();
   const leaving = createLeavingServers();
   const timers = services.flatMap((service) =>
-    service.servers.flatMap((server) => startHealth(service, server)),
+    service.servers.flatMap((server) => startHealthChecks(service, server)),
   );
 
-  function startHealth(service: ServiceSettings, server: ServiceServer) {
+  function startHealthChecks(service: ServiceSettings, server: ServiceServer) {
     const path = service.health?.path;
     if (path === undefined) return [];
-    void askHealth(server, path);
-    return setInterval(() => void askHealth(server, path), HEALTH_EVERY_MS);
+    void checkHealth(server, path);
+    return setInterval(
+      () => void checkHealth(server, path),
+      HEALTH_CHECK_INTERVAL_MS,
+    );
   }
 
-  async function askHealth(server: ServiceServer, path: string): Promise<void> {
+  async function checkHealth(
+    server: ServiceServer,
+    path: string,
+  ): Promise<void> {
     const request = { method: "GET", path, headers: {}, body: Buffer.alloc(0) };
     const result = await client.send(server.address, request, {
-      timeoutMs: HEALTH_TIMEOUT_MS,
+      timeoutMs: HEALTH_CHECK_TIMEOUT_MS,
     });
     if (result.kind === "answer") {
-      noteWord(server, result.answer.status !== OK);
+      recordLeaving(server, result.answer.status !== OK);
     } else if (result.kind === "not_started") {
-      noteWord(server, true);
+      recordLeaving(server, true);
     }
   }
 
-  function noteWord(server: ServiceServer, isLeaving: boolean): void {
-    const before = leaving.isLeaving(server);
+  function recordLeaving(server: ServiceServer, isLeaving: boolean): void {
+    const wasLeaving = leaving.isLeaving(server);
     leaving.takeOwnWord(server.id, isLeaving);
-    if (before === isLeaving) return;
+    if (wasLeaving === isLeaving) return;
     const event = isLeaving ? "server_leaving" : "server_returned";
     log.info(event, { server: server.id });
   }
@@ -84,18 +94,21 @@
     outcome: { readonly result: ServiceResult; readonly elapsedMs: number },
   ): void {
     const { result, elapsedMs } = outcome;
-    if (isWell(result)) health.succeeded(server.id, elapsedMs);
+    if (isHealthy(result)) health.succeeded(server.id, elapsedMs);
     else health.failed(server.id);
-    const said = result.kind === "answer" || result.kind === "not_started";
-    if (said && result.leaving) noteWord(server, true);
+    const hasResponse =
+      result.kind === "answer" || result.kind === "not_started";
+    if (hasResponse && result.leaving) recordLeaving(server, true);
   }
 
   return {
     choose(servers) {
-      const staying = servers.filter((server) => !leaving.isLeaving(server));
-      const trusted = staying.filter(({ id }) => random() < health.trust(id));
-      const rest = staying.filter((server) => !trusted.includes(server));
-      return [...trusted, ...rest];
+      const available = servers.filter((server) => !leaving.isLeaving(server));
+      const preferred = available.filter(
+        ({ id }) => random() < health.trust(id),
+      );
+      const rest = available.filter((server) => !preferred.includes(server));
+      return [...preferred, ...rest];
     },
     async send(server, request, sendOptions) {
       const startedAt = performance.now();
@@ -110,7 +123,7 @@
   };
 }
 
-/** An answer of 5xx is final for its caller, but no sign of health. */
-function isWell(result: ServiceResult): boolean {
+/** A 5xx response goes to the caller, but counts as a failure here. */
+function isHealthy(result: ServiceResult): boolean {
   return result.kind === "answer" && result.answer.status < SERVER_ERROR;
 }
--- a/packages/backends/src/service_fleet_test.ts
+++ b/packages/backends/src/service_fleet_test.ts
@@ -56,10 +56,10 @@
   return fleet;
 }
 
-describe("servers of a plain service", () => {
-  it("get nothing new within a second of saying that they leave", async () => {
-    // A server is told to stop and says so on its health path, while the
-    // platform's list goes on to call it live.
+describe("service fleet", () => {
+  it("excludes a server within a second of its leaving health status", async () => {
+    // A server that is shutting down reports this on its health path, while
+    // the platform's list still shows it as live.
     let status = HEALTHY;
     const known = createFleet({
       answer: (port) => answer(port === 1 ? status : HEALTHY),
@@ -74,16 +74,16 @@
     expect(known.choose(servers)).toEqual([first, second]);
   });
 
-  it("get nothing new once an answer says that they leave", async () => {
+  it("excludes a server once a response marks it as leaving", async () => {
     const known = createFleet({ answer: () => answer(HEALTHY, true) });
     await known.send(first, request, { timeoutMs: 1_000 });
     expect(known.choose([first])).toEqual([]);
   });
 
-  it("come last after failures, and return slowly", async () => {
-    // A server answers 500 to all. It was tried first for half of the calls;
-    // now it falls behind at once, and a first success does not bring it all
-    // of its calls back.
+  it("orders a failing server last and restores it slowly", async () => {
+    // A server responds with 500 to every call. It must move to the end after
+    // its first failures, and its first success must not restore its full
+    // share of the calls.
     let status = 500;
     const known = createFleet({
       answer: (_port, path) => answer(path === "/health" ? HEALTHY : status),
--- a/packages/backends/src/transport_failure.ts
+++ b/packages/backends/src/transport_failure.ts
@@ -1,16 +1,16 @@
-/** Tells apart calls that never left from calls that may have run. */
+/** Distinguishes calls that were never sent from calls that may have run. */
 import { errors } from "undici";
 
-/** How a call to a backend server broke. */
+/** Transport-level failure of a call to a backend server. */
 export type TransportFailure =
-  /** No connection was made: no byte of the request was handed over. */
+  /** No connection was established, so no byte of the request was sent. */
   | {
       readonly kind: "not_sent";
       readonly detail: string;
-      /** The host answered that nothing listens: the process has ended. */
+      /** The host refused the connection: no process listens on the port. */
       readonly refused: boolean;
     }
-  /** Bytes were handed over: the server may have run the call. */
+  /** The request may have been sent, so the server may have run the call. */
   | { readonly kind: "broken"; readonly detail: string };
 
 const NEVER_CONNECTED = new Set([
@@ -20,7 +20,7 @@
   "EADDRNOTAVAIL",
 ]);
 
-/** Classifies an error of `undici`; in doubt the call may have run. */
+/** Classifies an `undici` error; an unknown one is `broken`. */
 export function classifyTransportError(error: unknown): TransportFailure {
   const detail = error instanceof Error ? error.message : String(error);
   const code = (error as { code?: string }).code ?? "";
--- a/packages/limits/src/home_choice.ts
+++ b/packages/limits/src/coordinator_choice.ts
@@ -1,12 +1,13 @@
-/** Which instance judges an organisation's use of its limits. */
+/** Chooses the coordinator of an organisation's limits. */
 import xxhash from "xxhash-wasm";
 
 const { h32 } = await xxhash();
 
 /**
- * Chooses by rendezvous hashing, so that all instances with one view of who
- * lives agree without a word, and one that comes or goes moves only its own
- * organisations.
+ * Returns the id of the instance that coordinates an organisation's limits.
+ * With rendezvous hashing, all instances with the same list of live instances
+ * agree without messages, and an instance that joins or leaves moves only its
+ * own organisations. Returns an empty string if there are no instances.
  */
 export function chooseHome(
   organisation: string,
--- a/packages/limits/src/limit_home.ts
+++ b/packages/limits/src/limit_coordinator.ts
@@ -1,19 +1,19 @@
-/** Sums the use of limits for the organisations of one home. */
+/** Sums the usage of organisations over all instances. */
 import type { LimitReport, LimitVerdicts, Verdict } from "./limit_report.ts";
-import type { LimitsOf } from "./limits_of.ts";
+import type { LimitsOf } from "./limits_lookup.ts";
 import { createReportInterval } from "./report_interval.ts";
 
 /**
- * Time over which use is averaged, in milliseconds. Shorter than this, an
- * organisation may exceed its limits, so it is the burst that they allow.
+ * Time constant of the average usage, in milliseconds. Limits may be exceeded
+ * for shorter than this, so it determines the size of a burst.
  */
-export const AVERAGE_MS = 20_000;
-/** Use that has decayed to nothing is forgotten after this. */
-const FORGET_MS = 10 * AVERAGE_MS;
+export const AVERAGING_TIME_MS = 20_000;
+/** Entries without reports for this long are removed. */
+const IDLE_TTL_MS = 10 * AVERAGING_TIME_MS;
 
-/** The instance that judges an organisation's use over all instances. */
+/** Coordinator of the limits of some organisations. */
 export interface LimitHome {
-  /** Adds what an instance was asked for, and says how much may go on. */
+  /** Adds an instance's usage; returns the shares that may be admitted. */
   report(report: LimitReport): LimitVerdicts;
 }
 
@@ -24,9 +24,10 @@
 }
 
 /**
- * Creates a home. Use decays exponentially, so an organisation costs three
- * numbers however many instances report it. A home that has just taken over
- * knows of no use: limits are exceeded until it has heard about one average.
+ * Creates a coordinator without usage. Usage decays exponentially, so an
+ * organisation takes three numbers, regardless of how many instances report
+ * it. After a change of coordinator, limits may be exceeded until the new one
+ * has received reports for about the averaging time.
  */
 export function createLimitHome(options: {
   readonly limitsOf: LimitsOf;
@@ -35,14 +36,14 @@
   const interval = createReportInterval();
   let sweptAt = performance.now();
 
-  function decay(organisation: string): Use {
+  function decayedUse(organisation: string): Use {
     const now = performance.now();
     const use = uses.get(organisation) ?? {
       requestsPerSecond: 0,
       tokensPerSecond: 0,
       at: now,
     };
-    const factor = Math.exp((use.at - now) / AVERAGE_MS);
+    const factor = Math.exp((use.at - now) / AVERAGING_TIME_MS);
     use.requestsPerSecond *= factor;
     use.tokensPerSecond *= factor;
     use.at = now;
@@ -50,7 +51,7 @@
     return use;
   }
 
-  function judge(organisation: string, use: Use): Verdict {
+  function createVerdict(organisation: string, use: Use): Verdict {
     const limits = options.limitsOf(organisation);
     const share = Math.min(
       shareOf(limits?.requestsPerSecond, use.requestsPerSecond),
@@ -59,24 +60,24 @@
     return { organisation, share };
   }
 
-  function sweep(): void {
+  function removeIdle(): void {
     const now = performance.now();
-    if (now - sweptAt < FORGET_MS) return;
+    if (now - sweptAt < IDLE_TTL_MS) return;
     sweptAt = now;
     for (const [organisation, { at }] of uses) {
-      if (now - at > FORGET_MS) uses.delete(organisation);
+      if (now - at > IDLE_TTL_MS) uses.delete(organisation);
     }
   }
 
   return {
     report({ usages }) {
-      sweep();
-      const seconds = AVERAGE_MS / 1_000;
+      removeIdle();
+      const seconds = AVERAGING_TIME_MS / 1_000;
       const verdicts = usages.map(({ organisation, requests, tokens }) => {
-        const use = decay(organisation);
+        const use = decayedUse(organisation);
         use.requestsPerSecond += requests / seconds;
         use.tokensPerSecond += tokens / seconds;
-        return judge(organisation, use);
+        return createVerdict(organisation, use);
       });
       return { verdicts, nextAfterMs: interval.next() };
     },
--- a/packages/limits/src/limit_report.ts
+++ b/packages/limits/src/limit_report.ts
@@ -1,12 +1,12 @@
-/** What instances tell one another about the use of limits. */
+/** Messages between instances about the usage of limits. */
 import { nameSchema } from "@rosemarypin/schemas";
 import { z } from "zod";
 
-/** What one instance was asked for since its last report. */
+/** Requests that an instance received since its last report. */
 const usageSchema = z.object({
   organisation: nameSchema,
   requests: z.number().nonnegative(),
-  /** Tokens that the requests asked for at most. */
+  /** Sum of the maximum tokens of the requests. */
   tokens: z.number().nonnegative(),
 });
 export type Usage = z.infer<typeof usageSchema>;
@@ -16,17 +16,17 @@
 });
 export type LimitReport = z.infer<typeof limitReportSchema>;
 
-/** Which share of an organisation's requests may go on. */
+/** Share of an organisation's requests that may be admitted. */
 const verdictSchema = z.object({
   organisation: nameSchema,
-  /** From 0 to 1; 1 is within the limits. */
+  /** From 0 to 1, where 1 means within the limits. */
   share: z.number().min(0).max(1),
 });
 export type Verdict = z.infer<typeof verdictSchema>;
 
 export const limitVerdictsSchema = z.object({
   verdicts: z.array(verdictSchema),
-  /** When to report to this home again, in milliseconds. */
+  /** Milliseconds until the next report to this coordinator. */
   nextAfterMs: z.number().nonnegative(),
 });
 export type LimitVerdicts = z.infer<typeof limitVerdictsSchema>;
--- a/packages/limits/src/mod.ts
+++ b/packages/limits/src/mod.ts
@@ -1,6 +1,6 @@
-/** Limits of organisations that hold over all instances together. */
-export * from "./home_choice.ts";
-export * from "./limit_home.ts";
+/** Limits of organisations that are shared by all instances. */
+export * from "./coordinator_choice.ts";
+export * from "./limit_coordinator.ts";
 export * from "./limit_report.ts";
-export * from "./limits_of.ts";
-export * from "./organisation_limits.ts";
+export * from "./limits_lookup.ts";
+export * from "./shared_limits.ts";
--- a/packages/limits/src/shared_limits_test.ts
+++ b/packages/limits/src/shared_limits_test.ts
@@ -2,11 +2,8 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { createLimitHome } from "./limit_home.ts";
-import {
-  createSharedLimits,
-  type SharedLimits,
-} from "./organisation_limits.ts";
+import { createLimitHome } from "./limit_coordinator.ts";
+import { createSharedLimits, type SharedLimits } from "./shared_limits.ts";
 
 const STEP_MS = 100;
 
@@ -21,7 +18,7 @@
   vi.useRealTimers();
 });
 
-/** Instances behind a balancer; the first of them is every home. */
+/** Instances behind a balancer; the first coordinates all organisations. */
 function createFleet(
   size: number,
   limits: Readonly<Record<string, OrganisationLimits>>,
@@ -46,7 +43,7 @@
   );
   running.push(...instances);
 
-  /** Offers requests at even rates for a while; counts what went on. */
+  /** Offers requests at constant rates; returns the admitted rates. */
   async function offer(
     rates: Readonly<Record<string, number>>,
     options: { readonly seconds: number; readonly tokens?: number },
@@ -80,10 +77,10 @@
   };
 }
 
-describe("limits that all instances share", () => {
+describe("shared limits", () => {
   it.each([4, 64])("hold over %i instances together", async (size) => {
-    // Each instance sees a small part of an organisation's requests. Counted
-    // by each for itself, ten requests a second became ten on each instance.
+    // Each instance sees a small part of an organisation's requests. With local
+    // counts, ten requests a second would become ten on each instance.
     const fleet = createFleet(size, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 240 });
     const rate = await fleet.offer({ kano: 80 }, { seconds: 120 });
@@ -91,7 +88,7 @@
     expect(rate("kano")).toBeLessThan(24);
   });
 
-  it("leave an organisation alone that keeps to them", async () => {
+  it("admit all requests of organisations within their limits", async () => {
     const fleet = createFleet(4, {
       kano: { requestsPerSecond: 20 },
       dar: { requestsPerSecond: 20 },
@@ -103,7 +100,7 @@
     expect(rate("free")).toBe(50);
   });
 
-  it("hold for tokens asked for as well", async () => {
+  it("hold for requested tokens", async () => {
     const fleet = createFleet(4, { kano: { tokensPerSecond: 1_000 } });
     await fleet.offer({ kano: 40 }, { seconds: 60, tokens: 100 });
     const tokens = { seconds: 60, tokens: 100 };
@@ -112,9 +109,9 @@
     expect(rate("kano") * 100).toBeLessThan(1_200);
   });
 
-  it("end soon after the organisation has slowed down", async () => {
-    // A caller that was refused slows down as it was told; the verdict on its
-    // old rate must not go on refusing it.
+  it("admit all requests soon after the organisation slows down", async () => {
+    // A refused caller has slowed down. The verdict on its old rate must not
+    // refuse its requests any longer.
     const fleet = createFleet(4, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 60 });
     await fleet.offer({ kano: 10 }, { seconds: 90 });
@@ -122,10 +119,10 @@
     expect(rate("kano")).toBe(10);
   });
 
-  it("let all through while no home can be reached", async () => {
-    // The home of an organisation is cut off. Nobody knows the rate, so
-    // refusing could refuse what is allowed; the fair queue still protects
-    // the others.
+  it("admit all requests while no coordinator can be reached", async () => {
+    // The coordinator of an organisation is unreachable, so its rate is
+    // unknown and a refusal could hit allowed requests. The fair queue still
+    // protects other organisations.
     const fleet = createFleet(4, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 30 });
     fleet.cut(true);
@@ -134,7 +131,7 @@
     expect(rate("kano")).toBe(80);
   });
 
-  it("hold again after another instance has become the home", async () => {
+  it("hold after another instance becomes the coordinator", async () => {
     const fleet = createFleet(4, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 60 });
     fleet.replaceHome();
@@ -143,7 +140,7 @@
     expect(rate("kano")).toBeLessThan(24);
   });
 
-  it("say when to come back, the later the more is asked", async () => {
+  it("give a retry delay that grows with the excess", async () => {
     const waits: number[] = [];
     for (const offered of [40, 160]) {
       const fleet = createFleet(1, { kano: { requestsPerSecond: 20 } });
@@ -158,40 +155,40 @@
     expect(waits).toEqual([3, 9]);
   });
 
-  it("report within their budget, the heaviest use first", async () => {
-    // With a home on every instance, 340 of them would tell each of 6,400
-    // organisations' homes each second.
+  it("report within their budget, the heaviest usage first", async () => {
+    // Without a budget, each of 340 instances would report each of 6,400
+    // organisations to its coordinator every second.
     const limits = Object.fromEntries(
       Array.from({ length: 200 }, (_, at) => [
         `organisation-${at}`,
         { requestsPerSecond: 10 },
       ]),
     );
-    const told: string[] = [];
+    const reportedTo: string[] = [];
     const instance = createSharedLimits({
       limitsOf: (name) => limits[name],
       homes: {
         homeOf: (name) => name,
         isSelf: () => false,
         async report(home) {
-          told.push(home);
+          reportedTo.push(home);
           return { verdicts: [], nextAfterMs: 0 };
         },
       },
     });
     running.push(instance);
     for (const name of Object.keys(limits)) instance.admit(name, { tokens: 1 });
-    for (let many = 0; many < 50; many++) {
+    for (let request = 0; request < 50; request++) {
       instance.admit("organisation-77", { tokens: 1 });
     }
     await vi.advanceTimersByTimeAsync(60_000);
-    expect(told[0]).toBe("organisation-77");
-    expect(told.length).toBeLessThanOrEqual(12);
+    expect(reportedTo[0]).toBe("organisation-77");
+    expect(reportedTo.length).toBeLessThanOrEqual(12);
   });
 
-  it("do not all report to the home of one heavy organisation", async () => {
-    // Each of 64 instances has something to report of it every second, and
-    // all of it goes to one home, whose budget is about a report a second.
+  it("limit the reports to the coordinator of one heavy organisation", async () => {
+    // Each of 64 instances has usage to report every second, all to one
+    // coordinator, whose budget is about one report a second.
     const fleet = createFleet(64, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 180 });
     const before = fleet.reports();
--- a/packages/routing/src/engine_chain.ts
+++ b/packages/routing/src/engine_chain.ts
@@ -1,19 +1,19 @@
-/** The cheapest way through a version's layers. */
+/** Finds the cheapest chain of engines through a version's layers. */
 import type { KnownEngine } from "@rosemarypin/backends";
 import type { LayerRange } from "@rosemarypin/schemas";
-import { arePartners, type EnginePlace } from "./engine_partners.ts";
+import { arePartners, type GroupPosition } from "./engine_partners.ts";
 
 /**
- * Extra cost of going on to an engine that is no partner. It outweighs small
- * differences of load, and not an engine that is much fuller than the others.
+ * Extra cost of two adjacent stages that are not partners. It is more than
+ * small differences in load, but less than that of a much fuller engine.
  */
-const CROSSING_COST = 0.3;
+const NON_PARTNER_COST = 0.3;
 
-/** An engine as one possible stage. */
+/** An engine as a possible stage of a chain. */
 export interface Candidate {
   readonly engine: KnownEngine;
   readonly layers: LayerRange;
-  readonly place: EnginePlace;
+  readonly place: GroupPosition;
   readonly cost: number;
   readonly isFree: boolean;
 }
@@ -22,60 +22,60 @@
   | { readonly kind: "found"; readonly candidates: readonly Candidate[] }
   | { readonly kind: "none"; readonly reachedLayer: number };
 
-/** The cheapest chain that ends with a candidate. */
-interface ChainEnd {
+/** The cheapest chain from layer 0 that ends with `last`. */
+interface PartialChain {
   readonly last: Candidate;
-  readonly before: ChainEnd | null;
+  readonly before: PartialChain | null;
   readonly cost: number;
 }
 
 /**
- * Finds the cheapest chain. Ranges of different engines need not line up, so
- * the chain is a shortest path over engines: a greedy walk could end at a
- * layer from which no engine goes on, although another chain exists.
+ * Finds the cheapest chain as a shortest path over engines. Layer ranges of
+ * different engines need not line up, so a greedy search could end at a layer
+ * where no other engine starts, although another chain exists.
  */
 export function cheapestChain(
   candidates: readonly Candidate[],
   layers: number,
 ): Chain {
-  const endsAt = new Map<number, ChainEnd[]>();
+  const endsAt = new Map<number, PartialChain[]>();
   const ordered = [...candidates].sort((a, b) => a.layers.from - b.layers.from);
   for (const candidate of ordered) {
-    const end = extend(candidate, endsAt);
-    if (!end) continue;
+    const chain = extend(candidate, endsAt);
+    if (!chain) continue;
     const { to } = candidate.layers;
-    const others = endsAt.get(to);
-    if (others) others.push(end);
-    else endsAt.set(to, [end]);
+    const sameEnd = endsAt.get(to);
+    if (sameEnd) sameEnd.push(chain);
+    else endsAt.set(to, [chain]);
   }
   const best = cheapest(endsAt.get(layers) ?? []);
-  if (best) return { kind: "found", candidates: walkBack(best) };
+  if (best) return { kind: "found", candidates: candidatesOf(best) };
   return { kind: "none", reachedLayer: Math.max(0, ...endsAt.keys()) };
 }
 
 function extend(
   last: Candidate,
-  endsAt: ReadonlyMap<number, readonly ChainEnd[]>,
-): ChainEnd | null {
+  endsAt: ReadonlyMap<number, readonly PartialChain[]>,
+): PartialChain | null {
   const { from } = last.layers;
   if (from === 0) return { last, before: null, cost: last.cost };
-  const ways = (endsAt.get(from) ?? []).map((before) => {
-    const crossing = arePartners(before.last, last) ? 0 : CROSSING_COST;
+  const extended = (endsAt.get(from) ?? []).map((before) => {
+    const crossing = arePartners(before.last, last) ? 0 : NON_PARTNER_COST;
     return { last, before, cost: before.cost + last.cost + crossing };
   });
-  return cheapest(ways);
+  return cheapest(extended);
 }
 
-function cheapest(ends: readonly ChainEnd[]): ChainEnd | null {
-  return ends.reduce<ChainEnd | null>(
+function cheapest(ends: readonly PartialChain[]): PartialChain | null {
+  return ends.reduce<PartialChain | null>(
     (best, next) => (best && best.cost <= next.cost ? best : next),
     null,
   );
 }
 
-function walkBack(end: ChainEnd): Candidate[] {
+function candidatesOf(end: PartialChain): Candidate[] {
   const chain: Candidate[] = [];
-  for (let at: ChainEnd | null = end; at; at = at.before) {
+  for (let at: PartialChain | null = end; at; at = at.before) {
     chain.unshift(at.last);
   }
   return chain;
--- a/packages/routing/src/engine_partners.ts
+++ b/packages/routing/src/engine_partners.ts
@@ -1,34 +1,33 @@
 /**
- * Which engines of neighbouring layer ranges go together. Answers that keep
- * to the same engines meet the same others in each of them, in the same order,
- * so that each of their tokens takes the same time. Answers that change from
- * one group of engines to another wait for a different queue in each: gaps
- * differ by up to a batch, and some are beyond the objective while the engines
- * could still take more.
+ * Pairs engines of adjacent layer ranges as partners. Answers that stay on the
+ * same set of engines are batched with the same answers at every stage, so
+ * their tokens are evenly spaced. Answers that cross between sets wait in a
+ * different queue at each stage: their gaps vary by up to one batch, and some
+ * exceed the objective although the engines still have capacity.
  */
 import type { KnownEngine } from "@rosemarypin/backends";
 import type { LayerRange } from "@rosemarypin/schemas";
 
-/** An engine's place among those that hold the same layers. */
-export interface EnginePlace {
+/** Position of an engine among those that hold the same layers. */
+export interface GroupPosition {
   readonly index: number;
   readonly count: number;
 }
 
-/** An engine that holds layers of a version. */
+/** An engine and the range of a version's layers that it holds. */
 export interface LayerHolder {
   readonly engine: KnownEngine;
   readonly layers: LayerRange;
 }
 
 /**
- * Gives each holder its place, by failure domain and name. All instances know
- * the same engines, so they find the same partners without a word, and those
- * in one failure domain mostly go together.
+ * Adds to each holder its position in its group, sorted by failure domain and
+ * id. All instances with the same list of engines compute the same partners
+ * without coordination, and partners mostly share a failure domain.
  */
-export function withPlaces<T extends LayerHolder>(
+export function assignGroupPositions<T extends LayerHolder>(
   holders: readonly T[],
-): (T & { readonly place: EnginePlace })[] {
+): (T & { readonly place: GroupPosition })[] {
   const groups = new Map<string, T[]>();
   for (const holder of [...holders].sort(compareHolders)) {
     const { from, to } = holder.layers;
@@ -45,22 +44,22 @@
 }
 
 function compareHolders(a: LayerHolder, b: LayerHolder): number {
-  const one = a.engine.settings;
-  const other = b.engine.settings;
-  if (one.failureDomain !== other.failureDomain) {
-    return one.failureDomain < other.failureDomain ? -1 : 1;
+  const first = a.engine.settings;
+  const second = b.engine.settings;
+  if (first.failureDomain !== second.failureDomain) {
+    return first.failureDomain < second.failureDomain ? -1 : 1;
   }
-  return one.id < other.id ? -1 : 1;
+  return first.id < second.id ? -1 : 1;
 }
 
 /**
- * Whether two places overlap when both groups are laid over the same length:
- * with equal counts each has one partner, otherwise a place has as many as its
- * share of the other group.
+ * Whether two positions overlap when both groups are scaled to equal length.
+ * With equal counts, each engine has one partner; otherwise it has as many as
+ * its share of the other group, and at least one.
  */
 export function arePartners(
-  { place: a }: { readonly place: EnginePlace },
-  { place: b }: { readonly place: EnginePlace },
+  { place: a }: { readonly place: GroupPosition },
+  { place: b }: { readonly place: GroupPosition },
 ): boolean {
   return (
     a.index * b.count < (b.index + 1) * a.count &&
--- a/packages/routing/src/engine_partners_test.ts
+++ b/packages/routing/src/engine_partners_test.ts
@@ -1,6 +1,6 @@
 import type { KnownEngine } from "@rosemarypin/backends";
 import { describe, expect, it } from "vitest";
-import { arePartners, withPlaces } from "./engine_partners.ts";
+import { arePartners, assignGroupPositions } from "./engine_partners.ts";
 
 function holder(id: string, failureDomain: string, from: number) {
   const layers = { from, to: from + 4 };
@@ -20,9 +20,9 @@
   return { engine, layers };
 }
 
-/** Pairs of partners between the layers from 0 and those from 4. */
+/** Lists the partners between the layer ranges that start at 0 and at 4. */
 function partnersOf(holders: readonly ReturnType<typeof holder>[]): string[] {
-  const placed = withPlaces(holders);
+  const placed = assignGroupPositions(holders);
   const firsts = placed.filter(({ layers }) => layers.from === 0);
   const seconds = placed.filter(({ layers }) => layers.from === 4);
   return firsts.flatMap((first) =>
@@ -34,7 +34,7 @@
   );
 }
 
-describe("partners among engines", () => {
+describe("engine partners", () => {
   const engines = [
     holder("a1", "dar", 0),
     holder("a2", "tanga", 0),
@@ -42,16 +42,15 @@
     holder("b2", "tanga", 4),
   ];
 
-  it("are the same for all instances, and of one failure domain", () => {
+  it("do not depend on the order of engines and share a failure domain", () => {
     const expected = ["a1 b1", "a2 b2"];
     expect(partnersOf(engines)).toEqual(expected);
     expect(partnersOf([...engines].reverse())).toEqual(expected);
   });
 
-  it("leave no engine without one when counts differ", () => {
-    // One engine of three is lost. Were the last one left without a partner,
-    // every answer through it would cross, and its work would pile up where
-    // the others have theirs.
+  it("leave no engine without a partner when counts differ", () => {
+    // One engine of a stage of three is lost. If an engine had no partner,
+    // every answer through it would cross to engines that are already loaded.
     const three = [...engines, holder("a3", "unguja", 0)];
     expect(partnersOf(three)).toEqual(["a1 b1", "a2 b1", "a2 b2", "a3 b2"]);
   });
--- a/packages/routing/src/engine_window.ts
+++ b/packages/routing/src/engine_window.ts
@@ -1,91 +1,93 @@
 /**
- * How many answers this instance lets run at once on each engine. The window
- * follows the time between tokens that answers through the engine see: it
- * grows while they are well within the objective and shrinks when they are
- * not. It needs no report of the engine, which may be late or wrong, and no
- * word from other instances: all see the same engine's pace, so their windows
- * settle side by side. An engine that misses the objective even alone rests at
- * the smallest window. (A target raised to the best pace seen so far was tried:
- * an instance that came to a loaded engine never saw its best, aimed higher
- * than the others, and took nearly all of the engine.)
+ * Concurrency window of an engine: how many answers of this instance may run
+ * on it at the same time. The window follows the time between the tokens of
+ * the answers: it grows while they are well within the objective and shrinks
+ * when they are not. It needs neither the engine's reports, which may be late
+ * or wrong, nor messages between instances: all instances observe the same
+ * pace of the engine, so their windows converge. An engine that misses the
+ * objective even with one answer keeps the minimum window.
+ *
+ * The target is fixed and does not follow the best pace observed: an instance
+ * that starts to use a loaded engine never observes its best pace, so it would
+ * have a higher target than the others and take nearly all of the engine.
  */
 
-/** Answers that run on a new or returning engine at first (slow start). */
-const FIRST_WINDOW = 4;
-const SMALLEST_WINDOW = 1;
-/** Growth for each token until the first decrease. */
-const STARTING_STEP = 0.25;
-/** Growth in one round of tokens, whatever the pace. */
-const GROWTH = 0.3;
-/** Strongest decrease in one round, as a share of the window. */
-const STRONGEST_DECREASE = 0.1;
-/** Share of the objective that a healthy engine's answers stay below. */
+/** Window of a new or recovered engine (slow start). */
+const INITIAL_WINDOW = 4;
+const MIN_WINDOW = 1;
+/** Growth per token during slow start, which ends at the first decrease. */
+const SLOW_START_STEP = 0.25;
+/** Growth per round (one token of each answer), independent of the pace. */
+const GROWTH_PER_ROUND = 0.3;
+/** Maximum decrease per round, as a share of the window. */
+const MAX_DECREASE_SHARE = 0.1;
+/** Target pace, as a share of the objective. */
 const TARGET_SHARE = 0.73;
-/** Which quantile of the gaps judges an engine; see `observe`. */
-const JUDGED_QUANTILE = 0.25;
+/** Quantile of the gaps that is taken as the engine's pace. */
+const PACE_QUANTILE = 0.25;
 const QUANTILE_STEP_SHARE = 0.04;
 
-/** Window of one engine. */
+/** Concurrency window of one engine. */
 export interface EngineWindow {
-  /** Answers that may run at once. */
+  /** Number of answers that may run concurrently. */
   size(): number;
-  /** Takes in the time between two tokens of an answer on the engine. */
+  /** Records the gap between two tokens of an answer on the engine. */
   observe(gapMs: number, options: { readonly inFlight: number }): void;
-  /** Starts over, slowly, because the engine was lost and came back. */
+  /** Returns to slow start, for an engine that was lost and recovered. */
   reset(): void;
 }
 
-/** Creates the window of an engine about which nothing is known. */
+/** Creates the window of an engine without observations, in slow start. */
 export function createEngineWindow(options: {
   readonly betweenTokensMs: number;
   readonly largest: number;
 }): EngineWindow {
-  const target = options.betweenTokensMs * TARGET_SHARE;
-  let size = FIRST_WINDOW;
-  let isStarting = true;
-  let pace = 0;
+  const targetMs = options.betweenTokensMs * TARGET_SHARE;
+  let size = INITIAL_WINDOW;
+  let isSlowStart = true;
+  let paceMs = 0;
 
   /**
-   * A gap is the time of a whole pipeline, of which this engine is one part.
-   * The low quantile tells the parts apart: if even the better pipelines
-   * through an engine are slow, the engine is; if only some are, another
-   * engine of those is.
+   * Updates the estimate of a low quantile of the gaps. A gap is the time of a
+   * whole pipeline, of which this engine is one stage. If even the faster
+   * pipelines through the engine are slow, the engine itself is slow; if only
+   * some of them are, one of their other engines is.
    */
-  function track(gapMs: number): void {
-    if (pace === 0) pace = gapMs;
-    const step = Math.max(pace, 1) * QUANTILE_STEP_SHARE;
-    pace +=
-      gapMs > pace ? step * JUDGED_QUANTILE : -step * (1 - JUDGED_QUANTILE);
+  function updatePace(gapMs: number): void {
+    if (paceMs === 0) paceMs = gapMs;
+    const step = Math.max(paceMs, 1) * QUANTILE_STEP_SHARE;
+    paceMs +=
+      gapMs > paceMs ? step * PACE_QUANTILE : -step * (1 - PACE_QUANTILE);
   }
 
   /**
-   * The change for one token; about `size` tokens come in a round. Growth is
-   * the same for every window and the decrease is a share of the window, so
-   * windows of several instances on one engine can only come to rest when
-   * they are equal. A growth that ended at the target would let any split
-   * rest, for example one instance with all and the others with nothing.
+   * Returns the change of the window for one token; a round has about `size`
+   * tokens. Growth is the same for every window and the decrease is a share of
+   * the window, so the windows of several instances on one engine are stable
+   * only when they are equal. If growth stopped at the target, any split would
+   * be stable, for example all for one instance and nothing for the others.
    */
-  function change(isUsed: boolean): number {
-    const excess = Math.max(0, (pace - target) / target);
-    const decrease = Math.min(STRONGEST_DECREASE, excess);
-    // A window that is not used says nothing about a larger one.
+  function windowChange(isUsed: boolean): number {
+    const excess = Math.max(0, (paceMs - targetMs) / targetMs);
+    const decrease = Math.min(MAX_DECREASE_SHARE, excess);
+    // An unused window gives no evidence that a larger one would be safe.
     if (!isUsed) return -decrease;
-    if (decrease > 0) isStarting = false;
-    return isStarting ? STARTING_STEP : GROWTH / size - decrease;
+    if (decrease > 0) isSlowStart = false;
+    return isSlowStart ? SLOW_START_STEP : GROWTH_PER_ROUND / size - decrease;
   }
 
   return {
     size: () => Math.floor(size),
     observe(gapMs, { inFlight }) {
-      track(gapMs);
+      updatePace(gapMs);
       const isUsed = inFlight >= Math.floor(size) - 1;
-      const next = size + change(isUsed);
-      size = Math.min(options.largest, Math.max(SMALLEST_WINDOW, next));
+      const next = size + windowChange(isUsed);
+      size = Math.min(options.largest, Math.max(MIN_WINDOW, next));
     },
     reset() {
-      size = FIRST_WINDOW;
-      isStarting = true;
-      pace = 0;
+      size = INITIAL_WINDOW;
+      isSlowStart = true;
+      paceMs = 0;
     },
   };
 }
--- a/packages/routing/src/engine_windows.ts
+++ b/packages/routing/src/engine_windows.ts
@@ -1,16 +1,19 @@
-/** The windows of all engines that this instance uses. */
+/** Concurrency windows of all engines that this instance uses. */
 import type { KnownEngine } from "@rosemarypin/backends";
 import { createEngineWindow, type EngineWindow } from "./engine_window.ts";
 
 export interface EngineWindows {
   sizeOf(engine: string): number;
-  /** Takes in the time between two tokens of an answer on these engines. */
+  /** Records the gap between two tokens of an answer on these engines. */
   observe(engines: readonly string[], gapMs: number): void;
-  /** Starts engines over that were unusable and are usable again. */
+  /**
+   * Records which engines are usable and what runs on them. Resets the window
+   * of an engine that has become usable after it was not.
+   */
   follow(engines: readonly KnownEngine[]): void;
 }
 
-/** Creates windows; each begins when its engine is first asked for. */
+/** Creates an empty set; the window of an engine is created on first use. */
 export function createEngineWindows(options: {
   readonly betweenTokensMs: number;
   readonly largest: number;
@@ -20,8 +23,8 @@
   const wasUsable = new Map<string, boolean>();
 
   function windowOf(engine: string): EngineWindow {
-    const known = windows.get(engine);
-    if (known) return known;
+    const existing = windows.get(engine);
+    if (existing) return existing;
     const created = createEngineWindow(options);
     windows.set(engine, created);
     return created;
--- a/packages/routing/src/fair_queue.ts
+++ b/packages/routing/src/fair_queue.ts
@@ -1,14 +1,15 @@
 /**
- * Requests that wait, in the order of fair shares: first among priority
- * classes, then among the organisations of a class. Both levels use start
- * tags (start-time fair queueing): an organisation that has just been served
- * gets a later tag, so a large one cannot starve a small one.
+ * Two-level fair queue of requests: first among priority classes by the cost
+ * served so far, then among the organisations of a class by start tags
+ * (start-time fair queueing). An organisation that has just been served gets a
+ * later tag, so a large organisation cannot starve a small one.
  */
 import { type Priority, prioritySchema } from "@rosemarypin/schemas";
 
 /**
- * Shares of the classes while all wait. They are not strict, so that batch
- * work goes on, slowly, however much urgent work there is.
+ * Shares of the classes while all of them are backlogged. These are weights
+ * and not strict priorities, so that batch requests progress under any load of
+ * urgent ones.
  */
 const classWeights: Readonly<Record<Priority, number>> = {
   interactive: 16,
@@ -16,36 +17,36 @@
   batch: 1,
 };
 
-/** Old tags that may stay until it is worth looking for them. */
-const SPARE_TAGS = 64;
+/** Finish tags kept beyond two per ticket before stale ones are pruned. */
+const SPARE_FINISH_TAGS = 64;
 
-/** What decides a request's place. */
+/** Attributes of a request that determine its position. */
 export interface QueueFacts {
   readonly organisation: string;
-  /** Share of the organisation relative to others of its class. */
+  /** Weight of the organisation relative to others of its class. */
   readonly weight: number;
   readonly priority: Priority;
   /** Expected work, in tokens. */
   readonly cost: number;
 }
 
-/** A request that waits. */
+/** A queued request. */
 export interface QueueTicket<T> {
   readonly item: T;
   readonly facts: QueueFacts;
   readonly startTag: number;
 }
 
-/** Holds waiting requests; memory is bounded by their number. */
+/** Queued requests; memory is bounded by their number. */
 export interface FairQueue<T> {
   push(item: T, facts: QueueFacts): QueueTicket<T>;
-  /** The ticket whose turn it is, but for those in `skipped`; it stays. */
+  /** Returns the next ticket not in `skipped`, without removing it. */
   peek(skipped?: ReadonlySet<QueueTicket<T>>): QueueTicket<T> | undefined;
-  /** Takes a ticket out because it was served; its cost is charged. */
+  /** Removes a ticket that is served, and charges its cost. */
   serve(ticket: QueueTicket<T>): void;
-  /** Takes a ticket out without charging it. */
+  /** Removes a ticket without charging its cost. */
   remove(ticket: QueueTicket<T>): void;
-  /** Work that would be served before a request with these facts. */
+  /** Cost that would be served before a request with these attributes. */
   workAhead(facts: QueueFacts): number;
   length(): number;
 }
@@ -87,8 +88,8 @@
   }
 
   /**
-   * A class that was empty starts level with the one that is furthest behind.
-   * Without that it could claim the time during which it asked for nothing.
+   * Raises the served cost of an empty class to the lowest one among the
+   * backlogged classes. Otherwise it would get credit for its idle time.
    */
   function activate(state: ClassState<T>): void {
     if (state.tickets.length > 0) return;
@@ -103,22 +104,22 @@
     return Math.max(state.virtualTime, finish);
   }
 
-  function takeOut(ticket: QueueTicket<T>): ClassState<T> {
+  function removeTicket(ticket: QueueTicket<T>): ClassState<T> {
     const state = classOf(ticket.facts.priority);
     const index = state.tickets.indexOf(ticket);
     if (index >= 0) state.tickets.splice(index, 1);
     return state;
   }
 
-  /** Tags that the virtual time has passed no longer say anything. */
-  function forgetOldTags(state: ClassState<T>): void {
+  /** Removes finish tags below the virtual time, which have no effect. */
+  function pruneFinishTags(state: ClassState<T>): void {
     if (state.tickets.length === 0) {
       state.finishTags.clear();
       return;
     }
-    const isTidy =
-      state.finishTags.size < 2 * state.tickets.length + SPARE_TAGS;
-    if (isTidy) return;
+    const isSmall =
+      state.finishTags.size < 2 * state.tickets.length + SPARE_FINISH_TAGS;
+    if (isSmall) return;
     for (const [organisation, finish] of state.finishTags) {
       if (finish <= state.virtualTime) state.finishTags.delete(organisation);
     }
@@ -133,44 +134,44 @@
       state.finishTags.set(facts.organisation, finishTag);
       const ticket = { item, facts, startTag };
       const later = state.tickets.findIndex(
-        (other) => other.startTag > startTag,
+        (queued) => queued.startTag > startTag,
       );
       const index = later < 0 ? state.tickets.length : later;
       state.tickets.splice(index, 0, ticket);
       return ticket;
     },
     peek(skipped) {
-      const firsts = [...classes.values()]
+      const heads = [...classes.values()]
         .map((state) => ({
           served: state.served,
           ticket: state.tickets.find((ticket) => !skipped?.has(ticket)),
         }))
         .filter(({ ticket }) => ticket !== undefined);
       // `reduce` keeps the more urgent class among equals.
-      return firsts.reduce<(typeof firsts)[number] | undefined>(
+      return heads.reduce<(typeof heads)[number] | undefined>(
         (best, next) => (best && best.served <= next.served ? best : next),
         undefined,
       )?.ticket;
     },
     serve(ticket) {
-      const state = takeOut(ticket);
+      const state = removeTicket(ticket);
       state.virtualTime = Math.max(state.virtualTime, ticket.startTag);
       state.served += ticket.facts.cost / state.weight;
-      forgetOldTags(state);
+      pruneFinishTags(state);
     },
     remove(ticket) {
-      forgetOldTags(takeOut(ticket));
+      pruneFinishTags(removeTicket(ticket));
     },
     workAhead(facts) {
-      const own = classOf(facts.priority);
-      const startTag = startTagOf(own, facts);
+      const ownClass = classOf(facts.priority);
+      const startTag = startTagOf(ownClass, facts);
       const ahead = sumCost(
-        own.tickets.filter((ticket) => ticket.startTag <= startTag),
+        ownClass.tickets.filter((ticket) => ticket.startTag <= startTag),
       );
       const others = waitingClasses()
-        .filter((state) => state !== own)
+        .filter((state) => state !== ownClass)
         .map((state) => {
-          const share = ((ahead + facts.cost) * state.weight) / own.weight;
+          const share = ((ahead + facts.cost) * state.weight) / ownClass.weight;
           return Math.min(sumCost(state.tickets), share);
         });
       return others.reduce((sum, work) => sum + work, ahead);
--- a/packages/routing/src/fair_queue_test.ts
+++ b/packages/routing/src/fair_queue_test.ts
@@ -21,10 +21,10 @@
   return served;
 }
 
-describe("fair shares in a queue", () => {
-  it("serve a small organisation between the requests of a large one", () => {
-    // A large organisation has filled the queue. A small one sends a single
-    // request and waits behind all of it, unless shares are kept.
+describe("fair queue", () => {
+  it("serves a small organisation between the requests of a large one", () => {
+    // A large organisation has filled the queue. In order of arrival, the
+    // single request of a small one would wait behind all of them.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 5; index++) {
       queue.push(`large-${index}`, facts("large"));
@@ -33,7 +33,7 @@
     expect(serveAll(queue).indexOf("small")).toBe(1);
   });
 
-  it("follow weights", () => {
+  it("serves organisations in proportion to their weights", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 30; index++) {
       queue.push("heavy", facts("heavy", { weight: 3 }));
@@ -45,7 +45,7 @@
     expect(heavy).toBeLessThanOrEqual(16);
   });
 
-  it("charge long requests more than short ones", () => {
+  it("charges long requests more than short ones", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 20; index++) {
       queue.push("long", facts("long", { cost: 40 }));
@@ -56,9 +56,9 @@
     expect(short).toBeGreaterThanOrEqual(15);
   });
 
-  it("put urgent classes first and never stop the others", () => {
-    // Interactive work never ends. Batch work has to go on all the same, or
-    // an overload of a few hours would look like an outage to its callers.
+  it("prefers urgent classes without starving the others", () => {
+    // Interactive requests arrive without a break. Batch requests must still
+    // progress, or hours of overload would be an outage for their callers.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 60; index++) {
       queue.push("interactive", facts("one", { priority: "interactive" }));
@@ -69,9 +69,9 @@
     expect(batch).toBe(3);
   });
 
-  it("give no credit for time in which a class asked for nothing", () => {
-    // Batch work was served alone for a long time. When interactive work
-    // starts, it must not be owed all of that time at once, nor may batch.
+  it("gives a class no credit for the time it was idle", () => {
+    // Only batch requests were served before interactive ones arrive. The
+    // interactive class must not catch up on all of that time at once.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 50; index++) {
       queue.push("batch", facts("two", { priority: "batch" }));
@@ -86,7 +86,7 @@
     expect(batch).toBeLessThanOrEqual(3);
   });
 
-  it("forget organisations that wait for nothing", () => {
+  it("forgets organisations without queued requests", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 6_400; index++) {
       queue.push("one", facts(`organisation-${index}`));
@@ -96,7 +96,7 @@
     expect(queue.workAhead(facts("organisation-1"))).toBe(0);
   });
 
-  it("say how much work is ahead of a request", () => {
+  it("reports how much work is ahead of a request", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 5; index++) {
       queue.push("large", facts("large"));
--- a/packages/routing/src/mod.ts
+++ b/packages/routing/src/mod.ts
@@ -1,4 +1,4 @@
-/** Admission, queueing and choice of pipeline or server. */
+/** Admission control, queueing, and selection of pipelines and servers. */
 export * from "./admission.ts";
 export * from "./engine_window.ts";
 export * from "./engine_windows.ts";
--- a/packages/routing/src/model_queue.ts
+++ b/packages/routing/src/model_queue.ts
@@ -1,4 +1,4 @@
-/** The requests that wait for the engines of one model. */
+/** Queue of the requests that wait for the engines of one model. */
 import { admit, retryAfter } from "./admission.ts";
 import {
   createFairQueue,
@@ -13,20 +13,20 @@
 } from "./router.ts";
 import { createServiceRate } from "./service_rate.ts";
 
-/** Weight of an older first-token time against a new one. */
-const FIRST_TOKEN_KEEP = 0.9;
-/** Share of the work of a decoded token that a token of a prompt costs. */
-const PROMPT_COST = 0.05;
+/** Weight of the previous average of first-token times. */
+const FIRST_TOKEN_SMOOTHING = 0.9;
+/** Cost of a prompt token relative to a decoded token. */
+const PROMPT_TOKEN_COST = 0.05;
 
-/** Why no engines were found: all are full, or some layers have none. */
+/** Why no engines were found: all are full, or no engine holds some layers. */
 export type Shortage = "busy" | "uncovered";
 
-/** Tries to find engines now. */
+/** Occupies engines if a pipeline is free now. */
 export type TryGrant = (need: GrantRequest) => Grant | Shortage;
 
 export interface ModelQueueOptions {
   readonly tryGrant: TryGrant;
-  /** Whether usable engines hold the layers; occupies none. */
+  /** Whether usable engines hold the layers; occupies no engine. */
   readonly isCovered: (need: GrantRequest) => boolean;
   readonly firstTokenObjectiveMs: number;
   readonly largestLength: number;
@@ -36,21 +36,21 @@
 
 export interface ModelQueue {
   acquire(need: GrantRequest): Promise<GrantResult>;
-  /** Grants whatever can be granted now. */
+  /** Grants engines to queued requests, as far as there is capacity. */
   pump(): void;
   observeFirstToken(afterGrantMs: number): void;
   length(): number;
 }
 
-interface Waiting {
+interface WaitingRequest {
   readonly need: GrantRequest;
   readonly settle: (result: GrantResult) => void;
 }
 
-/** Creates a queue with nothing in it. */
+/** Creates an empty queue. */
 export function createModelQueue(options: ModelQueueOptions): ModelQueue {
-  const queue = createFairQueue<Waiting>();
-  const recoveries: Waiting[] = [];
+  const queue = createFairQueue<WaitingRequest>();
+  const recoveries: WaitingRequest[] = [];
   const rate = createServiceRate();
   let firstTokenMs = 0;
 
@@ -80,34 +80,35 @@
       const { retryAfterSeconds } = admission;
       return { kind: "refused", code: "too_late", retryAfterSeconds };
     }
-    return waitInLine(need, { facts, until: admission.until });
+    return waitInQueue(need, { facts, until: admission.until });
   }
 
-  function waitInLine(
+  function waitInQueue(
     need: GrantRequest,
-    place: { readonly facts: QueueFacts; readonly until: number },
+    entry: { readonly facts: QueueFacts; readonly until: number },
   ): Promise<GrantResult> {
     return new Promise((resolve) => {
-      const leave = watchEnd(need, place.until, () => {
+      const stopWatching = onDeadlineOrAbort(need, entry.until, () => {
         queue.remove(ticket);
-        const predictedMs = rate.predictMs(queue.workAhead(place.facts));
-        settle(refuse(lateCode(need), predictedMs));
+        const predictedMs = rate.predictMs(queue.workAhead(entry.facts));
+        settle(refuse(timeoutCode(need), predictedMs));
       });
       const settle = (result: GrantResult) => {
-        leave();
+        stopWatching();
         options.onLength(-1);
         resolve(result);
       };
       rate.waitBegan();
-      const ticket = queue.push({ need, settle }, place.facts);
+      const ticket = queue.push({ need, settle }, entry.facts);
       options.onLength(1);
     });
   }
 
   /**
-   * An answer that lost a stage goes first: its caller is reading it. If the
-   * engines that it may still use do not cover the layers, it is told at once,
-   * since only the answer itself can decide to try one it avoids again.
+   * Handles an answer that lost a stage. It precedes new requests, since its
+   * caller is already reading it. If the engines that it does not avoid cannot
+   * cover the layers, it is refused immediately, since only the answer itself
+   * can decide to retry an engine that it avoids.
    */
   async function recover(need: GrantRequest): Promise<GrantResult> {
     const grant = options.tryGrant(need);
@@ -118,32 +119,38 @@
 
   function waitAsRecovery(need: GrantRequest): Promise<GrantResult> {
     return new Promise((resolve) => {
-      const leave = watchEnd(need, need.request.deadlineAt, () => {
-        recoveries.splice(recoveries.indexOf(waiting), 1);
-        settle(refuse("deadline", 0));
-      });
+      const stopWatching = onDeadlineOrAbort(
+        need,
+        need.request.deadlineAt,
+        () => {
+          recoveries.splice(recoveries.indexOf(waiting), 1);
+          settle(refuse("deadline", 0));
+        },
+      );
       const settle = (result: GrantResult) => {
-        leave();
+        stopWatching();
         options.onLength(-1);
         resolve(result);
       };
-      const waiting: Waiting = { need, settle };
+      const waiting: WaitingRequest = { need, settle };
       recoveries.push(waiting);
       options.onLength(1);
     });
   }
 
   /**
-   * What a request that waited in vain lacked. Only asked, not tried: engines
-   * granted to a request that is given up on would stay busy for good.
+   * Returns the code for a request whose wait timed out. It checks coverage
+   * without a grant: engines granted to an abandoned request would never be
+   * released.
    */
-  function lateCode(need: GrantRequest): RefusalCode {
+  function timeoutCode(need: GrantRequest): RefusalCode {
     return options.isCovered(need) ? "too_late" : "no_capacity";
   }
 
   /**
-   * Stops at the first request for which all engines are full. One whose
-   * layers nobody holds (yet) must not hold up those behind it.
+   * Grants engines until the first request for which all engines are full. A
+   * request whose layers no engine holds yet is skipped, so that it does not
+   * block those behind it.
    */
   function pump(): void {
     for (const waiting of [...recoveries]) {
@@ -156,7 +163,7 @@
           : { kind: "granted", grant },
       );
     }
-    const skipped = new Set<QueueTicket<Waiting>>();
+    const skipped = new Set<QueueTicket<WaitingRequest>>();
     let ticket = queue.peek();
     while (ticket) {
       const grant = options.tryGrant(ticket.item.need);
@@ -167,7 +174,7 @@
     }
   }
 
-  function serve(ticket: QueueTicket<Waiting>, grant: Grant): void {
+  function serve(ticket: QueueTicket<WaitingRequest>, grant: Grant): void {
     queue.serve(ticket);
     rate.granted(ticket.facts.cost, { waiting: queue.length() > 0 });
     ticket.item.settle({ kind: "granted", grant });
@@ -181,29 +188,32 @@
       firstTokenMs =
         firstTokenMs === 0
           ? afterGrantMs
-          : firstTokenMs * FIRST_TOKEN_KEEP +
-            afterGrantMs * (1 - FIRST_TOKEN_KEEP);
+          : firstTokenMs * FIRST_TOKEN_SMOOTHING +
+            afterGrantMs * (1 - FIRST_TOKEN_SMOOTHING);
     },
   };
 }
 
-/** Calls `giveUp` once, at the time or when the caller leaves. */
-function watchEnd(
+/**
+ * Calls `onEnd` once, at the time `until` or when the caller aborts. Returns a
+ * function that cancels this.
+ */
+function onDeadlineOrAbort(
   need: GrantRequest,
   until: number,
-  giveUp: () => void,
+  onEnd: () => void,
 ): () => void {
   const timer = setTimeout(end, Math.max(0, until - Date.now()));
   need.signal.addEventListener("abort", end, { once: true });
-  function leave(): void {
+  function stopWatching(): void {
     clearTimeout(timer);
     need.signal.removeEventListener("abort", end);
   }
   function end(): void {
-    leave();
-    giveUp();
+    stopWatching();
+    onEnd();
   }
-  return leave;
+  return stopWatching;
 }
 
 function factsOf({ request }: GrantRequest): QueueFacts {
@@ -211,7 +221,7 @@
     organisation: request.organisation,
     weight: request.weight ?? 1,
     priority: request.priority,
-    cost: request.maxTokens + request.promptTokens.length * PROMPT_COST,
+    cost: request.maxTokens + request.promptTokens.length * PROMPT_TOKEN_COST,
   };
 }
 
--- a/packages/routing/src/pipeline_choice.ts
+++ b/packages/routing/src/pipeline_choice.ts
@@ -1,93 +1,109 @@
-/** Chooses engines that cover a version's layers once, in order. */
+/** Chooses a chain of engines that covers each layer of a version once. */
 import type { KnownEngine } from "@rosemarypin/backends";
 import type { ModelVersion, Stage } from "@rosemarypin/schemas";
 import { type Candidate, cheapestChain } from "./engine_chain.ts";
 import {
-  type EnginePlace,
+  assignGroupPositions,
+  type GroupPosition,
   type LayerHolder,
-  withPlaces,
 } from "./engine_partners.ts";
 
-/** Extra cost of an engine in another failure domain, whose links are long. */
-const FAR_COST = 0.05;
-/** Range of the random part of a cost; it only decides between equals. */
-const TIE_COST = 0.01;
+/** Extra cost of an engine in another failure domain, for its latency. */
+const REMOTE_DOMAIN_COST = 0.05;
+/** Range of the random part of a cost, which only breaks ties. */
+const TIE_BREAK_RANGE = 0.01;
 
-export interface PipelineNeed {
+export interface PipelineRequirements {
   readonly model: string;
   readonly version: ModelVersion;
   readonly adapter: string | undefined;
-  /** The instance's own failure domain. */
+  /** Failure domain of this instance. */
   readonly failureDomain: string;
-  /** Engines that just failed this answer. */
+  /** Engines to exclude because they failed this answer. */
   readonly avoid: ReadonlySet<string>;
-  /** Engines that still have the answer's KV cache; they go first. */
+  /** Engines that still have the answer's KV cache; they cost nothing. */
   readonly prefer?: ReadonlySet<string>;
-  /** Answers that may run at once on an engine, by its id. */
+  /** Returns how many answers may run concurrently on an engine, by id. */
   readonly windowOf: (engine: string) => number;
-  /** A number from 0 to 1, seeded; see `TIE_COST`. */
+  /** Returns a seeded random number from 0 to 1; see `TIE_BREAK_RANGE`. */
   readonly random: () => number;
 }
 
-/** Why no pipeline was chosen. */
+/** A chosen pipeline, or the reason why there is none. */
 export type PipelineChoice =
   | { readonly kind: "chosen"; readonly stages: readonly Stage[] }
-  /** Engines hold the layers, but all have as much as they may run. */
+  /** Usable engines cover the layers, but too many have a full window. */
   | { readonly kind: "busy" }
-  /** Some layers are held by no usable engine. */
+  /** No chain of usable engines goes beyond `layer`. */
   | { readonly kind: "uncovered"; readonly layer: number };
 
-/** Finds engines for all layers; full ones are left out. */
+/**
+ * Finds the cheapest chain of engines for all layers, without the engines
+ * whose window is full.
+ */
 export function choosePipeline(
   engines: readonly KnownEngine[],
-  need: PipelineNeed,
+  requirements: PipelineRequirements,
 ): PipelineChoice {
-  const holders = engines.flatMap((engine) => holdersOf(engine, need));
-  const candidates = withPlaces(holders)
-    .filter(({ engine }) => !need.avoid.has(engine.settings.id))
-    .map((holder) => toCandidate(holder, need));
-  const layers = need.version.layers;
+  const holders = engines.flatMap((engine) =>
+    findLayerHolders(engine, requirements),
+  );
+  const candidates = assignGroupPositions(holders)
+    .filter(({ engine }) => !requirements.avoid.has(engine.settings.id))
+    .map((holder) => toCandidate(holder, requirements));
+  const layers = requirements.version.layers;
   const free = candidates.filter(({ isFree }) => isFree);
-  const chain = cheapestChain(free, layers);
-  if (chain.kind === "found") {
-    return { kind: "chosen", stages: chain.candidates.map(toStage) };
+  const freeChain = cheapestChain(free, layers);
+  if (freeChain.kind === "found") {
+    return { kind: "chosen", stages: freeChain.candidates.map(toStage) };
   }
-  const any = cheapestChain(candidates, layers);
-  if (any.kind === "found") return { kind: "busy" };
-  return { kind: "uncovered", layer: any.reachedLayer };
+  const chainWithBusy = cheapestChain(candidates, layers);
+  if (chainWithBusy.kind === "found") return { kind: "busy" };
+  return { kind: "uncovered", layer: chainWithBusy.reachedLayer };
 }
 
-function holdersOf(engine: KnownEngine, need: PipelineNeed): LayerHolder[] {
+function findLayerHolders(
+  engine: KnownEngine,
+  requirements: PipelineRequirements,
+): LayerHolder[] {
   const { state, usable } = engine;
-  if (!usable || !state || !holdsAdapter(state.adapters, need)) return [];
+  if (!usable || !state || !holdsAdapter(state.adapters, requirements))
+    return [];
   return state.held
     .filter(
       ({ model, version }) =>
-        model === need.model && version === need.version.version,
+        model === requirements.model &&
+        version === requirements.version.version,
     )
     .map(({ layers }) => ({ engine, layers }));
 }
 
 function toCandidate(
-  holder: LayerHolder & { readonly place: EnginePlace },
-  need: PipelineNeed,
+  holder: LayerHolder & { readonly place: GroupPosition },
+  requirements: PipelineRequirements,
 ): Candidate {
   const { settings, inFlight } = holder.engine;
-  const window = Math.max(1, need.windowOf(settings.id));
-  const far = settings.failureDomain === need.failureDomain ? 0 : FAR_COST;
+  const window = Math.max(1, requirements.windowOf(settings.id));
+  const domainCost =
+    settings.failureDomain === requirements.failureDomain
+      ? 0
+      : REMOTE_DOMAIN_COST;
   const load = (inFlight + 1) / window;
-  const hasCache = need.prefer?.has(settings.id) ?? false;
-  const cost = hasCache ? 0 : load + far + need.random() * TIE_COST;
+  const hasCache = requirements.prefer?.has(settings.id) ?? false;
+  const cost = hasCache
+    ? 0
+    : load + domainCost + requirements.random() * TIE_BREAK_RANGE;
   return { ...holder, cost, isFree: inFlight < window };
 }
 
 function holdsAdapter(
   adapters: readonly { readonly model: string; readonly adapter: string }[],
-  need: PipelineNeed,
+  requirements: PipelineRequirements,
 ): boolean {
-  if (need.adapter === undefined) return true;
+  if (requirements.adapter === undefined) return true;
   return adapters.some(
-    ({ model, adapter }) => model === need.model && adapter === need.adapter,
+    ({ model, adapter }) =>
+      model === requirements.model && adapter === requirements.adapter,
   );
 }
 
--- a/packages/routing/src/pipeline_choice_test.ts
+++ b/packages/routing/src/pipeline_choice_test.ts
@@ -1,6 +1,9 @@
 import type { KnownEngine } from "@rosemarypin/backends";
 import { describe, expect, it } from "vitest";
-import { choosePipeline, type PipelineNeed } from "./pipeline_choice.ts";
+import {
+  choosePipeline,
+  type PipelineRequirements,
+} from "./pipeline_choice.ts";
 
 const version = {
   version: "v1",
@@ -46,7 +49,7 @@
 
 function choose(
   engines: readonly KnownEngine[],
-  need: Partial<PipelineNeed> = {},
+  requirements: Partial<PipelineRequirements> = {},
 ): string {
   const choice = choosePipeline(engines, {
     model: "assist",
@@ -56,13 +59,13 @@
     avoid: new Set(),
     windowOf: () => 4,
     random: () => 0,
-    ...need,
+    ...requirements,
   });
   if (choice.kind !== "chosen") return choice.kind;
   return choice.stages.map((stage) => stage.engine).join(" ");
 }
 
-describe("the choice of a pipeline", () => {
+describe("pipeline choice", () => {
   const cases = [
     {
       name: "covers the layers in order",
@@ -70,7 +73,7 @@
       expected: "a b",
     },
     {
-      name: "finds the chain that a greedy walk would miss",
+      name: "finds the chain that a greedy search would miss",
       engines: [
         engine("dead-end", [0, 5]),
         engine("a", [0, 4], { inFlight: 2 }),
@@ -79,7 +82,7 @@
       expected: "a b",
     },
     {
-      name: "takes the engine with the most room",
+      name: "prefers the engine with the lowest load",
       engines: [
         engine("full", [0, 4], { inFlight: 3 }),
         engine("free", [0, 4]),
@@ -88,7 +91,7 @@
       expected: "free b",
     },
     {
-      name: "stays in its own failure domain among equals",
+      name: "prefers its own failure domain at equal load",
       engines: [
         engine("far", [0, 4], { domain: "z" }),
         engine("near", [0, 4]),
@@ -97,7 +100,7 @@
       expected: "near b",
     },
     {
-      name: "goes to another failure domain for room",
+      name: "uses another failure domain when its own is full",
       engines: [
         engine("far", [0, 4], { domain: "z" }),
         engine("near", [0, 4], { inFlight: 4 }),
@@ -106,7 +109,7 @@
       expected: "far b",
     },
     {
-      name: "gives nothing to an engine that is leaving or silent",
+      name: "skips an engine that is not usable",
       engines: [engine("a", [0, 4], { usable: false }), engine("b", [4, 8])],
       expected: "uncovered",
     },
@@ -116,7 +119,7 @@
       expected: "uncovered",
     },
     {
-      name: "waits when every engine of a stage has its window full",
+      name: "reports busy when every engine of a stage has a full window",
       engines: [engine("a", [0, 4], { inFlight: 4 }), engine("b", [4, 8])],
       expected: "busy",
     },
@@ -134,16 +137,16 @@
     expect(choose(engines, { avoid: new Set(["b"]) })).toBe("a c");
   });
 
-  it("asks for the adapter", () => {
+  it("requires the adapter of the request", () => {
     const engines = [engine("a", [0, 4]), engine("b", [4, 8])];
     expect(choose(engines, { adapter: "harvest" })).toBe("a b");
     expect(choose(engines, { adapter: "other" })).toBe("uncovered");
   });
 
-  it("keeps to partners, unless they are much fuller than others", () => {
-    // Answers that change between pipelines wait in another queue for each
-    // token, and callers see them come unevenly. An engine that is much
-    // fuller than its like must be left out all the same.
+  it("prefers partner engines unless they are much fuller than others", () => {
+    // Answers that cross between partner sets wait in a different queue for
+    // each token, so their tokens are unevenly spaced. An engine that is much
+    // fuller than others with the same layers must still be passed over.
     const engines = (inFlight: number) => [
       engine("a1", [0, 4], { inFlight: 1 }),
       engine("a2", [0, 4], { inFlight: 2 }),
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -1,4 +1,4 @@
-/** Admits requests, lets them wait in fair order, and grants pipelines. */
+/** Admits requests, queues them in fair order, and grants pipelines. */
 import type { EngineFleet } from "@rosemarypin/backends";
 import type {
   AnswerRequest,
@@ -17,16 +17,16 @@
 } from "./model_queue.ts";
 import { choosePipeline } from "./pipeline_choice.ts";
 
-/** How often waiting requests look for engines that came back. */
-const PUMP_EVERY_MS = 20;
+/** Interval at which queued requests are matched with recovered engines. */
+const PUMP_INTERVAL_MS = 20;
 const RANDOM_RANGE = 1 << 20;
 
-/** The engines granted to one attempt. */
+/** Pipeline granted to one attempt. */
 export interface Grant {
   readonly stages: readonly Stage[];
-  /** Tells the router of each token that comes, for its windows. */
+  /** Records the arrival of a token, for the windows of the engines. */
   observeToken(): void;
-  /** Gives the engines back; more calls do nothing. */
+  /** Releases the engines; further calls have no effect. */
   release(): void;
 }
 
@@ -55,7 +55,7 @@
   readonly signal: AbortSignal;
 }
 
-/** What engines would have to hold. */
+/** Model, version and adapter that engines have to hold. */
 export interface CoverRequest {
   readonly model: string;
   readonly version: ModelVersion;
@@ -65,7 +65,7 @@
 /** Grants pipelines to answers. */
 export interface Router {
   acquire(need: GrantRequest): Promise<GrantResult>;
-  /** Whether usable engines hold all layers, busy or not. */
+  /** Whether usable engines hold all layers, including busy engines. */
   covers(need: CoverRequest): boolean;
   stop(): void;
 }
@@ -98,7 +98,7 @@
   function tryGrant(need: GrantRequest): Grant | Shortage {
     const { model, adapter } = need.request;
     const { version, avoid, prefer } = need;
-    const choice = choose({
+    const choice = findPipeline({
       model,
       adapter,
       version,
@@ -112,10 +112,14 @@
   function isCovered(need: GrantRequest): boolean {
     const { model, adapter } = need.request;
     const { version, avoid } = need;
-    return choose({ model, adapter, version, avoid }).kind !== "uncovered";
+    return (
+      findPipeline({ model, adapter, version, avoid }).kind !== "uncovered"
+    );
   }
 
-  function choose(need: CoverRequest & Pick<GrantRequest, "avoid" | "prefer">) {
+  function findPipeline(
+    need: CoverRequest & Pick<GrantRequest, "avoid" | "prefer">,
+  ) {
     const engines = fleet.engines();
     windows.follow(engines);
     return choosePipeline(engines, {
@@ -128,7 +132,7 @@
 
   function createGrant(stages: readonly Stage[], queue: ModelQueue): Grant {
     const engines = stages.map(({ engine }) => engine);
-    const free = fleet.occupy(engines);
+    const releaseEngines = fleet.occupy(engines);
     const grantedAt = performance.now();
     let lastTokenAt: number | null = null;
     return {
@@ -140,31 +144,31 @@
         lastTokenAt = now;
       },
       release() {
-        free();
+        releaseEngines();
         queue.pump();
       },
     };
   }
 
   function queueOf(model: string): ModelQueue {
-    const known = queues.get(model);
-    if (known) return known;
+    const existing = queues.get(model);
+    if (existing) return existing;
     const created = createModelQueue({
       tryGrant,
       isCovered,
       firstTokenObjectiveMs: objectives.firstTokenMs,
       largestLength: limits.queueLength,
-      onLength: changeWaiting,
+      onLength: updateWaiting,
     });
     queues.set(model, created);
     return created;
   }
 
-  /** The timer runs only while something waits. */
-  function changeWaiting(change: 1 | -1): void {
+  /** Runs the timer only while requests are queued. */
+  function updateWaiting(change: 1 | -1): void {
     waiting += change;
     metrics?.queued.set(waiting);
-    if (waiting > 0 && !timer) timer = setInterval(pumpAll, PUMP_EVERY_MS);
+    if (waiting > 0 && !timer) timer = setInterval(pumpAll, PUMP_INTERVAL_MS);
     if (waiting === 0) stop();
   }
 
@@ -180,7 +184,7 @@
   return {
     acquire: (need) => queueOf(need.request.model).acquire(need),
     covers: (need) =>
-      choose({ ...need, avoid: new Set() }).kind !== "uncovered",
+      findPipeline({ ...need, avoid: new Set() }).kind !== "uncovered",
     stop,
   };
 }
--- a/packages/routing/src/router_test.ts
+++ b/packages/routing/src/router_test.ts
@@ -82,7 +82,7 @@
   return { router, health };
 }
 
-interface Asked {
+interface RequestOptions {
   readonly organisation?: string;
   readonly priority?: Priority;
   readonly deadlineMs?: number;
@@ -91,24 +91,27 @@
   readonly signal?: AbortSignal;
 }
 
-function ask(router: Router, asked: Asked = {}): Promise<GrantResult> {
+function ask(
+  router: Router,
+  requestOptions: RequestOptions = {},
+): Promise<GrantResult> {
   const request: AnswerRequest = {
     requestId: "request",
-    organisation: asked.organisation ?? "one",
+    organisation: requestOptions.organisation ?? "one",
     weight: 1,
     model: "assist",
-    adapter: asked.adapter,
+    adapter: requestOptions.adapter,
     promptTokens: [],
     maxTokens: 10,
-    priority: asked.priority ?? "standard",
-    deadlineAt: Date.now() + (asked.deadlineMs ?? 60_000),
+    priority: requestOptions.priority ?? "standard",
+    deadlineAt: Date.now() + (requestOptions.deadlineMs ?? 60_000),
   };
   return router.acquire({
     request,
     version,
     avoid: new Set(),
-    isRecovery: asked.isRecovery ?? false,
-    signal: asked.signal ?? new AbortController().signal,
+    isRecovery: requestOptions.isRecovery ?? false,
+    signal: requestOptions.signal ?? new AbortController().signal,
   });
 }
 
@@ -120,7 +123,7 @@
   if (result?.kind === "granted") result.grant.release();
 }
 
-/** What each promise came to, `waiting` for those that did not. */
+/** Returns the kind of each result, `waiting` for pending promises. */
 async function kinds(
   results: readonly Promise<GrantResult>[],
 ): Promise<string[]> {
@@ -142,13 +145,13 @@
     vi.useRealTimers();
   });
 
-  it("grants at once while engines have room", async () => {
+  it("grants immediately while engines have capacity", async () => {
     const { router } = createTestRouter();
     const results = await fill(router);
     expect(results.map(({ kind }) => kind)).toEqual(Array(4).fill("granted"));
   });
 
-  it("lets the next in line in when an answer ends", async () => {
+  it("grants to the next queued request when an answer ends", async () => {
     const { router } = createTestRouter();
     const [first] = await fill(router);
     const next = ask(router);
@@ -157,10 +160,10 @@
     expect(await kinds([next])).toEqual(["granted"]);
   });
 
-  it("answers at once when a request is given up on", async () => {
-    // The engines are full and stay full. A caller whose first token can no
-    // longer come in time has to hear that now, with when to come back, and
-    // not when its own deadline is near.
+  it("refuses a queued request once its first token would be late", async () => {
+    // The engines stay full. Once the first token of a request can no longer
+    // be in time, its caller must get a refusal with a retry delay, long
+    // before its own deadline.
     const { router } = createTestRouter();
     await fill(router);
     const next = ask(router, { deadlineMs: 60_000 });
@@ -170,9 +173,9 @@
     expect(result).toHaveProperty("retryAfterSeconds");
   });
 
-  it("refuses at once what the learned rate cannot serve in time", async () => {
-    // The queue drains at a known rate. A request that would wait longer than
-    // it may is refused on arrival instead of after a useless wait.
+  it("refuses on arrival what the observed rate cannot serve in time", async () => {
+    // The queue drains at an observed rate. A request whose predicted wait is
+    // too long is refused on arrival instead of after a useless wait.
     const { router } = createTestRouter();
     let [oldest, ...others] = await fill(router);
     const waiting: Promise<GrantResult>[] = [];
@@ -190,7 +193,7 @@
     expect(seen).toContain("refused");
   });
 
-  it("refuses what exceeds the length of the queue", async () => {
+  it("refuses requests beyond the maximum queue length", async () => {
     const { router } = createTestRouter(2);
     await fill(router);
     void ask(router);
@@ -199,7 +202,7 @@
     expect(result).toMatchObject({ kind: "refused", code: "queue_full" });
   });
 
-  it("serves the answer that lost its engines before new requests", async () => {
+  it("serves an answer that lost its engines before new requests", async () => {
     const { router } = createTestRouter();
     const [first] = await fill(router);
     const fresh = ask(router, { priority: "interactive" });
@@ -208,76 +211,79 @@
     expect(await kinds([fresh, recovery])).toEqual(["waiting", "granted"]);
   });
 
-  it("forgets a caller that left while it waited", async () => {
+  it("removes a request whose caller aborted from the queue", async () => {
     const { router } = createTestRouter();
     const [first] = await fill(router);
-    const left = new AbortController();
-    const gone = ask(router, { signal: left.signal });
+    const controller = new AbortController();
+    const aborted = ask(router, { signal: controller.signal });
     const next = ask(router);
-    left.abort();
+    controller.abort();
     release(first);
-    expect(await kinds([gone, next])).toEqual(["refused", "granted"]);
+    expect(await kinds([aborted, next])).toEqual(["refused", "granted"]);
   });
 
-  it("gives no engines to a caller that left while it waited", async () => {
-    // A caller leaves in the moment in which room has come and before the
-    // queue is looked at. Engines that were granted to it then would count as
-    // busy for good, one answer each time, until none is left.
+  it("does not leak engines to a request whose caller aborted", async () => {
+    // A caller aborts after capacity was freed and before the queue is pumped.
+    // Engines granted to it then would never be released, and each such abort
+    // would lose a slot until none is left.
     const { router, health } = createTestRouter();
-    const held = await fill(router);
-    const left = new AbortController();
-    const gone = ask(router, { signal: left.signal });
+    const granted = await fill(router);
+    const controller = new AbortController();
+    const aborted = ask(router, { signal: controller.signal });
     health.elsewhere = -1;
-    left.abort();
-    expect(await kinds([gone])).toEqual(["refused"]);
+    controller.abort();
+    expect(await kinds([aborted])).toEqual(["refused"]);
     health.elsewhere = 0;
-    for (const result of held) release(result);
-    const again = Array.from({ length: 4 }, () => ask(router));
-    expect(await kinds(again)).toEqual(Array(4).fill("granted"));
+    for (const result of granted) release(result);
+    const retries = Array.from({ length: 4 }, () => ask(router));
+    expect(await kinds(retries)).toEqual(Array(4).fill("granted"));
   });
 
-  it("refuses when nobody holds the layers in time", async () => {
+  it("refuses when no engine holds the layers in time", async () => {
     const { router, health } = createTestRouter();
     health.usable = false;
-    const asked = ask(router);
-    expect(await kinds([asked])).toEqual(["waiting"]);
+    const pending = ask(router);
+    expect(await kinds([pending])).toEqual(["waiting"]);
     await vi.advanceTimersByTimeAsync(830);
-    expect(await asked).toMatchObject({ kind: "refused", code: "no_capacity" });
+    expect(await pending).toMatchObject({
+      kind: "refused",
+      code: "no_capacity",
+    });
   });
 
-  it("tells an answer at once that its other engines do not suffice", async () => {
+  it("refuses a recovery immediately when other engines do not suffice", async () => {
     // An answer avoids the engine that failed it, and no other holds those
-    // layers. Waiting here until its deadline kept it from trying the engine
-    // again once that was back (seed 7 of check:answers, 7 broken of 100).
+    // layers. If it waited here until its deadline, it could not retry the
+    // engine after its recovery (seed 7 of check:answers, 7 broken of 100).
     const { router, health } = createTestRouter();
     health.usable = false;
     const result = await ask(router, { isRecovery: true });
     expect(result).toMatchObject({ kind: "refused", code: "no_capacity" });
   });
 
-  it("waits a moment for engines that are just becoming known", async () => {
-    // A note has come into force, and this instance has not yet read the
-    // state of the engines that hold it. To refuse now would be a refusal
-    // that a caller sees right after the operator was told that all is well.
+  it("waits for engines whose state has not been read yet", async () => {
+    // A release note has come into force, and this instance has not yet read
+    // the state of the engines that hold its version. A refusal now would reach
+    // a caller after the release was reported to the operator as complete.
     const { router, health } = createTestRouter();
     health.usable = false;
-    const asked = ask(router);
+    const pending = ask(router);
     await vi.advanceTimersByTimeAsync(200);
     health.usable = true;
     await vi.advanceTimersByTimeAsync(50);
-    expect(await asked).toMatchObject({ kind: "granted" });
+    expect(await pending).toMatchObject({ kind: "granted" });
   });
 
-  it("does not hold others up behind one whose layers nobody holds", async () => {
+  it("does not block others behind a request whose layers no engine holds", async () => {
     const { router } = createTestRouter();
     const [first] = await fill(router);
-    const odd = ask(router, { adapter: "unheard" });
+    const uncovered = ask(router, { adapter: "unheard" });
     const next = ask(router);
     release(first);
-    expect(await kinds([odd, next])).toEqual(["waiting", "granted"]);
+    expect(await kinds([uncovered, next])).toEqual(["waiting", "granted"]);
   });
 
-  it("says whether engines hold a version", () => {
+  it("reports whether engines hold a version", () => {
     const { router, health } = createTestRouter();
     const need = { model: "assist", version, adapter: undefined };
     expect(router.covers(need)).toBe(true);
--- a/packages/routing/src/server_choice.ts
+++ b/packages/routing/src/server_choice.ts
@@ -1,9 +1,12 @@
-/** Chooses a server of a plain service. */
+/** Orders the servers of a plain service for a call. */
 import type { ServiceSettings } from "@rosemarypin/schemas";
 
 type ServiceServer = ServiceSettings["servers"][number];
 
-/** Servers to try, the own failure domain first, the rest in turn. */
+/**
+ * Returns the servers in the order to try them: those of this instance's
+ * failure domain first. `turn` rotates the list for round-robin.
+ */
 export function orderServers(
   service: ServiceSettings,
   options: { readonly failureDomain: string; readonly turn: number },
@@ -11,10 +14,10 @@
   const { servers } = service;
   const offset = options.turn % servers.length;
   const rotated = [...servers.slice(offset), ...servers.slice(0, offset)];
-  const isNear = (server: ServiceServer) =>
+  const isInOwnDomain = (server: ServiceServer) =>
     server.failureDomain === options.failureDomain;
   return [
-    ...rotated.filter(isNear),
-    ...rotated.filter((server) => !isNear(server)),
+    ...rotated.filter(isInOwnDomain),
+    ...rotated.filter((server) => !isInOwnDomain(server)),
   ];
 }
--- a/packages/routing/src/service_rate.ts
+++ b/packages/routing/src/service_rate.ts
@@ -1,42 +1,42 @@
 /**
- * How fast waiting work is taken up, learned from what was taken up while
- * something waited. It turns work ahead into a predicted wait.
+ * Estimates the rate at which queued work is granted engines, from the grants
+ * made while the queue was not empty. Predicts the wait for an amount of work.
  */
 
-/** Time over which old observations fade, in milliseconds. */
-const FADE_MS = 2_000;
+/** Time constant of the exponential decay of observations. */
+const DECAY_TIME_MS = 2_000;
 
-/** Rate of one model's engines as this instance sees them. */
+/** Service rate of one model's engines, as observed by this instance. */
 export interface ServiceRate {
-  /** Something began to wait, after a time in which nothing did. */
+  /** Starts the measurement when the queue becomes non-empty. */
   waitBegan(): void;
-  /** Work was granted; `waiting` says whether more was waiting. */
+  /** Records granted work; `waiting` is whether the queue is non-empty. */
   granted(cost: number, options: { readonly waiting: boolean }): void;
-  /** Predicted time in milliseconds until `work` is taken up. */
+  /** Predicted time in milliseconds until `work` has been granted. */
   predictMs(work: number): number;
 }
 
-/** Creates a rate about which nothing is known: no wait is predicted. */
+/** Creates a rate without observations, which predicts no wait. */
 export function createServiceRate(): ServiceRate {
   let costSum = 0;
   let timeSumMs = 0;
-  let lastAt: number | null = null;
+  let intervalStartedAt: number | null = null;
 
   return {
     waitBegan() {
-      lastAt ??= performance.now();
+      intervalStartedAt ??= performance.now();
     },
     granted(cost, { waiting }) {
       const now = performance.now();
-      if (lastAt !== null) {
-        const passedMs = now - lastAt;
-        const keep = Math.exp(-passedMs / FADE_MS);
-        costSum = costSum * keep + cost;
-        timeSumMs = timeSumMs * keep + passedMs;
+      if (intervalStartedAt !== null) {
+        const elapsedMs = now - intervalStartedAt;
+        const decay = Math.exp(-elapsedMs / DECAY_TIME_MS);
+        costSum = costSum * decay + cost;
+        timeSumMs = timeSumMs * decay + elapsedMs;
       }
-      // Time in which nothing waited tells how much came, not how much the
-      // engines could take.
-      lastAt = waiting ? now : null;
+      // With an empty queue, the rate of grants is the arrival rate, not the
+      // rate that the engines can sustain.
+      intervalStartedAt = waiting ? now : null;
     },
     predictMs(work) {
       if (costSum === 0 || timeSumMs === 0) return 0;
