--- a/packages/backends/src/engine_fleet.ts
+++ b/packages/backends/src/engine_fleet.ts
@@ -71,7 +71,7 @@
 interface Entry {
   readonly settings: EngineSettings;
   state: EngineState | null;
-  heardAt: number;
+  lastStateAt: number;
   inFlight: number;
   isReading: boolean;
   /** Consecutive failed reads; at least 1 after a reported loss. */
@@ -133,7 +133,8 @@
     const entry = entries.get(id);
     if (!entry) return;
     entry.nextReadAt = 0;
-    if (entry.failures === 0 && entry.state) entry.heardAt = performance.now();
+    if (entry.failures === 0 && entry.state)
+      entry.lastStateAt = performance.now();
   }
 
   async function refresh(entry: Entry): Promise<void> {
@@ -166,7 +167,7 @@
     }
     const mustNotify = entry.failures > 0 || hasChanged(entry.state, state);
     entry.state = state;
-    entry.heardAt = performance.now();
+    entry.lastStateAt = performance.now();
     entry.failures = 0;
     if (mustNotify) notifyChange(entry);
   }
@@ -190,7 +191,7 @@
    */
   function isUsable(entry: Entry): boolean {
     if (entry.state === null || entry.state.leaving) return false;
-    const sinceStateMs = performance.now() - entry.heardAt;
+    const sinceStateMs = performance.now() - entry.lastStateAt;
     if (sinceStateMs === Infinity) return false;
     if (!isWatched(entry.settings.id)) return entry.failures === 0;
     return (
@@ -215,7 +216,7 @@
     reportLost(engine) {
       const entry = entries.get(engine);
       if (!entry) return;
-      entry.heardAt = -Infinity;
+      entry.lastStateAt = -Infinity;
       entry.failures = Math.max(1, entry.failures);
       entry.nextReadAt = 0;
       log.warn("engine_lost", { engine });
@@ -246,7 +247,7 @@
   return {
     settings,
     state: null,
-    heardAt: -Infinity,
+    lastStateAt: -Infinity,
     inFlight: 0,
     isReading: false,
     failures: 0,
--- a/packages/backends/src/leaving_servers.ts
+++ b/packages/backends/src/leaving_servers.ts
@@ -10,12 +10,12 @@
 export interface LeavingServers {
   isLeaving(server: ServiceServer): boolean;
   /** Records the server's report in a response or on its health path. */
-  takeOwnWord(server: string, leaving: boolean): void;
+  recordReport(server: string, leaving: boolean): void;
   /**
    * Applies the platform's instance list, which may be late or wrong. With
    * `null`, the last list remains.
    */
-  takeList(list: InstanceList | null): void;
+  applyInstanceList(list: InstanceList | null): void;
 }
 
 /**
@@ -29,7 +29,7 @@
  * would be new work.
  */
 export function createLeavingServers(): LeavingServers {
-  const reports = new Map<string, { leaving: boolean; at: number }>();
+  const reports = new Map<string, { leaving: boolean; reportedAt: number }>();
   let listedAsLeaving = new Set<string>();
 
   function reportedLeaving(server: string): boolean | null {
@@ -38,7 +38,9 @@
     const ttlMs = report.leaving
       ? LEAVING_REPORT_TTL_MS
       : SERVING_REPORT_TTL_MS;
-    return performance.now() - report.at < ttlMs ? report.leaving : null;
+    return performance.now() - report.reportedAt < ttlMs
+      ? report.leaving
+      : null;
   }
 
   return {
@@ -46,10 +48,10 @@
       if (leaving) return true;
       return reportedLeaving(id) ?? listedAsLeaving.has(id);
     },
-    takeOwnWord(server, leaving) {
-      reports.set(server, { leaving, at: performance.now() });
+    recordReport(server, leaving) {
+      reports.set(server, { leaving, reportedAt: performance.now() });
     },
-    takeList(list) {
+    applyInstanceList(list) {
       if (!list) return;
       const leaving = list.instances.filter(({ state }) => state === "leaving");
       listedAsLeaving = new Set(leaving.map(({ id }) => id));
--- a/packages/backends/src/leaving_servers_test.ts
+++ b/packages/backends/src/leaving_servers_test.ts
@@ -37,16 +37,16 @@
     "list: $list, own report: $own -> $leaving",
     (row) => {
       const servers = createLeavingServers();
-      servers.takeList(row.said);
-      if (row.own !== null) servers.takeOwnWord("one", row.own);
+      servers.applyInstanceList(row.said);
+      if (row.own !== null) servers.recordReport("one", row.own);
       expect(servers.isLeaving(server)).toBe(row.leaving);
     },
   );
 
   it("prefers the operators' settings over all other sources", () => {
     const servers = createLeavingServers();
-    servers.takeOwnWord("one", false);
-    servers.takeList(listWith("live"));
+    servers.recordReport("one", false);
+    servers.applyInstanceList(listWith("live"));
     expect(servers.isLeaving({ ...server, leaving: true })).toBe(true);
   });
 
@@ -54,24 +54,24 @@
     // The server reported that it was leaving and then stopped responding. The
     // list shows it as live for many more seconds; a call to it would be lost.
     const servers = createLeavingServers();
-    servers.takeList(listWith("live"));
-    servers.takeOwnWord("one", true);
+    servers.applyInstanceList(listWith("live"));
+    servers.recordReport("one", true);
     vi.advanceTimersByTime(30_000);
     expect(servers.isLeaving(server)).toBe(true);
   });
 
   it("prefers the server's report of its return over an old list", () => {
     const servers = createLeavingServers();
-    servers.takeList(listWith("leaving"));
-    servers.takeOwnWord("one", true);
-    servers.takeOwnWord("one", false);
+    servers.applyInstanceList(listWith("leaving"));
+    servers.recordReport("one", true);
+    servers.recordReport("one", false);
     expect(servers.isLeaving(server)).toBe(false);
   });
 
   it("keeps the last list while none is available", () => {
     const servers = createLeavingServers();
-    servers.takeList(listWith("leaving"));
-    servers.takeList(null);
+    servers.applyInstanceList(listWith("leaving"));
+    servers.applyInstanceList(null);
     expect(servers.isLeaving(server)).toBe(true);
   });
 });
--- a/packages/backends/src/server_health.ts
+++ b/packages/backends/src/server_health.ts
@@ -15,13 +15,13 @@
 /** Health weight of each server. */
 export interface ServerHealth {
   /** Share, from 1/32 to 1, of its regular calls that a server should get. */
-  trust(server: string): number;
-  succeeded(server: string, elapsedMs: number): void;
-  failed(server: string): void;
+  weight(server: string): number;
+  recordSuccess(server: string, elapsedMs: number): void;
+  recordFailure(server: string): void;
 }
 
 interface Entry {
-  trust: number;
+  weight: number;
   latencyMs: number | null;
 }
 
@@ -37,7 +37,7 @@
   const entries = new Map<string, Entry>();
 
   function entryOf(server: string): Entry {
-    const entry = entries.get(server) ?? { trust: 1, latencyMs: null };
+    const entry = entries.get(server) ?? { weight: 1, latencyMs: null };
     entries.set(server, entry);
     return entry;
   }
@@ -52,20 +52,20 @@
   }
 
   function reduceWeight(entry: Entry): void {
-    entry.trust = Math.max(MIN_WEIGHT, entry.trust * FAILURE_FACTOR);
+    entry.weight = Math.max(MIN_WEIGHT, entry.weight * FAILURE_FACTOR);
   }
 
   return {
-    trust: (server) => entries.get(server)?.trust ?? 1,
-    succeeded(server, elapsedMs) {
+    weight: (server) => entries.get(server)?.weight ?? 1,
+    recordSuccess(server, elapsedMs) {
       const entry = entryOf(server);
       const previousMs = entry.latencyMs ?? elapsedMs;
       entry.latencyMs =
         previousMs + (elapsedMs - previousMs) * LATENCY_SMOOTHING;
       if (isSlow(server, elapsedMs)) reduceWeight(entry);
-      else entry.trust = Math.min(1, entry.trust * SUCCESS_FACTOR);
+      else entry.weight = Math.min(1, entry.weight * SUCCESS_FACTOR);
     },
-    failed(server) {
+    recordFailure(server) {
       reduceWeight(entryOf(server));
     },
   };
--- a/packages/backends/src/service_fleet.ts
+++ b/packages/backends/src/service_fleet.ts
@@ -83,7 +83,7 @@
 
   function recordLeaving(server: ServiceServer, isLeaving: boolean): void {
     const wasLeaving = leaving.isLeaving(server);
-    leaving.takeOwnWord(server.id, isLeaving);
+    leaving.recordReport(server.id, isLeaving);
     if (wasLeaving === isLeaving) return;
     const event = isLeaving ? "server_leaving" : "server_returned";
     log.info(event, { server: server.id });
@@ -94,8 +94,8 @@
     outcome: { readonly result: ServiceResult; readonly elapsedMs: number },
   ): void {
     const { result, elapsedMs } = outcome;
-    if (isHealthy(result)) health.succeeded(server.id, elapsedMs);
-    else health.failed(server.id);
+    if (isHealthy(result)) health.recordSuccess(server.id, elapsedMs);
+    else health.recordFailure(server.id);
     const hasResponse =
       result.kind === "answer" || result.kind === "not_started";
     if (hasResponse && result.leaving) recordLeaving(server, true);
@@ -105,7 +105,7 @@
     choose(servers) {
       const available = servers.filter((server) => !leaving.isLeaving(server));
       const preferred = available.filter(
-        ({ id }) => random() < health.trust(id),
+        ({ id }) => random() < health.weight(id),
       );
       const rest = available.filter((server) => !preferred.includes(server));
       return [...preferred, ...rest];
@@ -116,7 +116,7 @@
       observe(server, { result, elapsedMs: performance.now() - startedAt });
       return result;
     },
-    takeList: leaving.takeList,
+    takeList: leaving.applyInstanceList,
     stop() {
       for (const timer of timers) clearInterval(timer);
     },
--- a/packages/limits/src/limit_coordinator.ts
+++ b/packages/limits/src/limit_coordinator.ts
@@ -20,7 +20,7 @@
 interface Use {
   requestsPerSecond: number;
   tokensPerSecond: number;
-  at: number;
+  updatedAt: number;
 }
 
 /**
@@ -41,12 +41,12 @@
     const use = uses.get(organisation) ?? {
       requestsPerSecond: 0,
       tokensPerSecond: 0,
-      at: now,
+      updatedAt: now,
     };
-    const factor = Math.exp((use.at - now) / AVERAGING_TIME_MS);
+    const factor = Math.exp((use.updatedAt - now) / AVERAGING_TIME_MS);
     use.requestsPerSecond *= factor;
     use.tokensPerSecond *= factor;
-    use.at = now;
+    use.updatedAt = now;
     uses.set(organisation, use);
     return use;
   }
@@ -64,8 +64,8 @@
     const now = performance.now();
     if (now - sweptAt < IDLE_TTL_MS) return;
     sweptAt = now;
-    for (const [organisation, { at }] of uses) {
-      if (now - at > IDLE_TTL_MS) uses.delete(organisation);
+    for (const [organisation, { updatedAt }] of uses) {
+      if (now - updatedAt > IDLE_TTL_MS) uses.delete(organisation);
     }
   }
 
--- a/packages/limits/src/shared_limits.ts
+++ b/packages/limits/src/shared_limits.ts
@@ -40,7 +40,7 @@
   tokens: number;
   share: number;
   /** Time by `performance.now()` at which the share expires. */
-  until: number;
+  shareExpiresAt: number;
   /** Sum of the shares of requests; an admitted request takes 1 from it. */
   credit: number;
 }
@@ -72,7 +72,13 @@
   let reportsLeft = REPORT_BURST;
 
   function stateOf(organisation: string): OrganisationState {
-    const fresh = { requests: 0, tokens: 0, share: 1, until: 0, credit: 0 };
+    const fresh = {
+      requests: 0,
+      tokens: 0,
+      share: 1,
+      shareExpiresAt: 0,
+      credit: 0,
+    };
     const found = organisations.get(organisation) ?? fresh;
     organisations.set(organisation, found);
     return found;
@@ -102,9 +108,13 @@
 
   function groupByCoordinator(): Map<string, Usage[]> {
     const usagesByCoordinator = new Map<string, Usage[]>();
-    for (const [organisation, { requests, tokens, until }] of organisations) {
+    for (const [
+      organisation,
+      { requests, tokens, shareExpiresAt },
+    ] of organisations) {
       if (requests === 0) {
-        if (until < performance.now()) organisations.delete(organisation);
+        if (shareExpiresAt < performance.now())
+          organisations.delete(organisation);
         continue;
       }
       const home = homes.homeOf(organisation);
@@ -133,7 +143,7 @@
     for (const { organisation, share } of answer.verdicts) {
       const found = stateOf(organisation);
       found.share = share;
-      found.until = now + ttlMs;
+      found.shareExpiresAt = now + ttlMs;
     }
   }
 
@@ -173,7 +183,7 @@
       const found = stateOf(organisation);
       found.requests += 1;
       found.tokens += tokens;
-      const share = performance.now() < found.until ? found.share : 1;
+      const share = performance.now() < found.shareExpiresAt ? found.share : 1;
       found.credit = Math.min(2, found.credit + share);
       if (found.credit < 1) return refuse(share);
       found.credit -= 1;
--- a/packages/routing/src/engine_chain.ts
+++ b/packages/routing/src/engine_chain.ts
@@ -13,7 +13,7 @@
 export interface Candidate {
   readonly engine: KnownEngine;
   readonly layers: LayerRange;
-  readonly place: GroupPosition;
+  readonly position: GroupPosition;
   readonly cost: number;
   readonly isFree: boolean;
 }
@@ -25,7 +25,7 @@
 /** The cheapest chain from layer 0 that ends with `last`. */
 interface PartialChain {
   readonly last: Candidate;
-  readonly before: PartialChain | null;
+  readonly previous: PartialChain | null;
   readonly cost: number;
 }
 
@@ -58,10 +58,10 @@
   endsAt: ReadonlyMap<number, readonly PartialChain[]>,
 ): PartialChain | null {
   const { from } = last.layers;
-  if (from === 0) return { last, before: null, cost: last.cost };
-  const extended = (endsAt.get(from) ?? []).map((before) => {
-    const crossing = arePartners(before.last, last) ? 0 : NON_PARTNER_COST;
-    return { last, before, cost: before.cost + last.cost + crossing };
+  if (from === 0) return { last, previous: null, cost: last.cost };
+  const extended = (endsAt.get(from) ?? []).map((previous) => {
+    const crossing = arePartners(previous.last, last) ? 0 : NON_PARTNER_COST;
+    return { last, previous, cost: previous.cost + last.cost + crossing };
   });
   return cheapest(extended);
 }
@@ -75,7 +75,7 @@
 
 function candidatesOf(end: PartialChain): Candidate[] {
   const chain: Candidate[] = [];
-  for (let at: PartialChain | null = end; at; at = at.before) {
+  for (let at: PartialChain | null = end; at; at = at.previous) {
     chain.unshift(at.last);
   }
   return chain;
--- a/packages/routing/src/engine_partners.ts
+++ b/packages/routing/src/engine_partners.ts
@@ -27,7 +27,7 @@
  */
 export function assignGroupPositions<T extends LayerHolder>(
   holders: readonly T[],
-): (T & { readonly place: GroupPosition })[] {
+): (T & { readonly position: GroupPosition })[] {
   const groups = new Map<string, T[]>();
   for (const holder of [...holders].sort(compareHolders)) {
     const { from, to } = holder.layers;
@@ -37,8 +37,8 @@
   }
   return [...groups.values()].flatMap((group) =>
     group.map((holder, index) => {
-      const place = { index, count: group.length };
-      return { ...holder, place };
+      const position = { index, count: group.length };
+      return { ...holder, position };
     }),
   );
 }
@@ -58,8 +58,8 @@
  * its share of the other group, and at least one.
  */
 export function arePartners(
-  { place: a }: { readonly place: GroupPosition },
-  { place: b }: { readonly place: GroupPosition },
+  { position: a }: { readonly position: GroupPosition },
+  { position: b }: { readonly position: GroupPosition },
 ): boolean {
   return (
     a.index * b.count < (b.index + 1) * a.count &&
--- a/packages/routing/src/engine_window.ts
+++ b/packages/routing/src/engine_window.ts
@@ -40,7 +40,7 @@
 /** Creates the window of an engine without observations, in slow start. */
 export function createEngineWindow(options: {
   readonly betweenTokensMs: number;
-  readonly largest: number;
+  readonly maxSize: number;
 }): EngineWindow {
   const targetMs = options.betweenTokensMs * TARGET_SHARE;
   let size = INITIAL_WINDOW;
@@ -82,7 +82,7 @@
       updatePace(gapMs);
       const isUsed = inFlight >= Math.floor(size) - 1;
       const next = size + windowChange(isUsed);
-      size = Math.min(options.largest, Math.max(MIN_WINDOW, next));
+      size = Math.min(options.maxSize, Math.max(MIN_WINDOW, next));
     },
     reset() {
       size = INITIAL_WINDOW;
--- a/packages/routing/src/engine_window_test.ts
+++ b/packages/routing/src/engine_window_test.ts
@@ -24,7 +24,7 @@
 }
 
 function createWindow(): EngineWindow {
-  return createEngineWindow({ betweenTokensMs: 79, largest: 256 });
+  return createEngineWindow({ betweenTokensMs: 79, maxSize: 256 });
 }
 
 describe("engine window", () => {
--- a/packages/routing/src/engine_windows.ts
+++ b/packages/routing/src/engine_windows.ts
@@ -10,13 +10,13 @@
    * Records which engines are usable and what runs on them. Resets the window
    * of an engine that has become usable after it was not.
    */
-  follow(engines: readonly KnownEngine[]): void;
+  update(engines: readonly KnownEngine[]): void;
 }
 
 /** Creates an empty set; the window of an engine is created on first use. */
 export function createEngineWindows(options: {
   readonly betweenTokensMs: number;
-  readonly largest: number;
+  readonly maxSize: number;
 }): EngineWindows {
   const windows = new Map<string, EngineWindow>();
   const inFlight = new Map<string, number>();
@@ -38,7 +38,7 @@
         windowOf(engine).observe(gapMs, { inFlight: running });
       }
     },
-    follow(engines) {
+    update(engines) {
       for (const { settings, usable, inFlight: running } of engines) {
         const { id } = settings;
         if (usable && wasUsable.get(id) === false) windowOf(id).reset();
--- a/packages/routing/src/fair_queue.ts
+++ b/packages/routing/src/fair_queue.ts
@@ -79,7 +79,7 @@
 
   function classOf(priority: Priority): ClassState<T> {
     const state = classes.get(priority);
-    if (!state) throw new Error(`there is no class '${priority}'`);
+    if (!state) throw new Error(`unknown priority class '${priority}'`);
     return state;
   }
 
--- a/packages/routing/src/model_queue.ts
+++ b/packages/routing/src/model_queue.ts
@@ -22,20 +22,20 @@
 export type Shortage = "busy" | "uncovered";
 
 /** Occupies engines if a pipeline is free now. */
-export type TryGrant = (need: GrantRequest) => Grant | Shortage;
+export type TryGrant = (grantRequest: GrantRequest) => Grant | Shortage;
 
 export interface ModelQueueOptions {
   readonly tryGrant: TryGrant;
   /** Whether usable engines hold the layers; occupies no engine. */
-  readonly isCovered: (need: GrantRequest) => boolean;
+  readonly isCovered: (grantRequest: GrantRequest) => boolean;
   readonly firstTokenObjectiveMs: number;
-  readonly largestLength: number;
+  readonly maxLength: number;
   /** Called whenever the number of waiting requests changes. */
-  readonly onLength: (change: 1 | -1) => void;
+  readonly onLengthChange: (change: 1 | -1) => void;
 }
 
 export interface ModelQueue {
-  acquire(need: GrantRequest): Promise<GrantResult>;
+  acquire(grantRequest: GrantRequest): Promise<GrantResult>;
   /** Grants engines to queued requests, as far as there is capacity. */
   pump(): void;
   observeFirstToken(afterGrantMs: number): void;
@@ -43,7 +43,7 @@
 }
 
 interface WaitingRequest {
-  readonly need: GrantRequest;
+  readonly grantRequest: GrantRequest;
   readonly settle: (result: GrantResult) => void;
 }
 
@@ -58,49 +58,51 @@
     return queue.length() + recoveries.length;
   }
 
-  async function acquire(need: GrantRequest): Promise<GrantResult> {
-    const facts = factsOf(need);
+  async function acquire(grantRequest: GrantRequest): Promise<GrantResult> {
+    const facts = factsOf(grantRequest);
     if (length() === 0) {
-      const grant = options.tryGrant(need);
+      const grant = options.tryGrant(grantRequest);
       if (typeof grant !== "string") {
-        rate.granted(facts.cost, { waiting: false });
+        rate.recordGrant(facts.cost, { isBacklogged: false });
         return { kind: "granted", grant };
       }
     }
-    if (need.isRecovery) return recover(need);
-    if (length() >= options.largestLength) {
-      return refuse("queue_full", rate.predictMs(queue.workAhead(facts)));
+    if (grantRequest.isRecovery) return recover(grantRequest);
+    if (length() >= options.maxLength) {
+      return refuse("queue_full", rate.predictWaitMs(queue.workAhead(facts)));
     }
-    const predictedWaitMs = rate.predictMs(queue.workAhead(facts) + facts.cost);
+    const predictedWaitMs = rate.predictWaitMs(
+      queue.workAhead(facts) + facts.cost,
+    );
     const admission = admit(
-      { ...need.request, predictedWaitMs, firstTokenMs },
+      { ...grantRequest.request, predictedWaitMs, firstTokenMs },
       options,
     );
     if (admission.kind === "refused") {
       const { retryAfterSeconds } = admission;
       return { kind: "refused", code: "too_late", retryAfterSeconds };
     }
-    return waitInQueue(need, { facts, until: admission.until });
+    return waitInQueue(grantRequest, { facts, until: admission.until });
   }
 
   function waitInQueue(
-    need: GrantRequest,
+    grantRequest: GrantRequest,
     entry: { readonly facts: QueueFacts; readonly until: number },
   ): Promise<GrantResult> {
     return new Promise((resolve) => {
-      const stopWatching = onDeadlineOrAbort(need, entry.until, () => {
+      const stopWatching = onDeadlineOrAbort(grantRequest, entry.until, () => {
         queue.remove(ticket);
-        const predictedMs = rate.predictMs(queue.workAhead(entry.facts));
-        settle(refuse(timeoutCode(need), predictedMs));
+        const predictedMs = rate.predictWaitMs(queue.workAhead(entry.facts));
+        settle(refuse(timeoutCode(grantRequest), predictedMs));
       });
       const settle = (result: GrantResult) => {
         stopWatching();
-        options.onLength(-1);
+        options.onLengthChange(-1);
         resolve(result);
       };
-      rate.waitBegan();
-      const ticket = queue.push({ need, settle }, entry.facts);
-      options.onLength(1);
+      rate.startMeasurement();
+      const ticket = queue.push({ grantRequest, settle }, entry.facts);
+      options.onLengthChange(1);
     });
   }
 
@@ -110,18 +112,18 @@
    * cover the layers, it is refused immediately, since only the answer itself
    * can decide to retry an engine that it avoids.
    */
-  async function recover(need: GrantRequest): Promise<GrantResult> {
-    const grant = options.tryGrant(need);
+  async function recover(grantRequest: GrantRequest): Promise<GrantResult> {
+    const grant = options.tryGrant(grantRequest);
     if (grant === "uncovered") return refuse("no_capacity", 0);
-    if (grant === "busy") return waitAsRecovery(need);
+    if (grant === "busy") return waitAsRecovery(grantRequest);
     return { kind: "granted", grant };
   }
 
-  function waitAsRecovery(need: GrantRequest): Promise<GrantResult> {
+  function waitAsRecovery(grantRequest: GrantRequest): Promise<GrantResult> {
     return new Promise((resolve) => {
       const stopWatching = onDeadlineOrAbort(
-        need,
-        need.request.deadlineAt,
+        grantRequest,
+        grantRequest.request.deadlineAt,
         () => {
           recoveries.splice(recoveries.indexOf(waiting), 1);
           settle(refuse("deadline", 0));
@@ -129,12 +131,12 @@
       );
       const settle = (result: GrantResult) => {
         stopWatching();
-        options.onLength(-1);
+        options.onLengthChange(-1);
         resolve(result);
       };
-      const waiting: WaitingRequest = { need, settle };
+      const waiting: WaitingRequest = { grantRequest, settle };
       recoveries.push(waiting);
-      options.onLength(1);
+      options.onLengthChange(1);
     });
   }
 
@@ -143,8 +145,8 @@
    * without a grant: engines granted to an abandoned request would never be
    * released.
    */
-  function timeoutCode(need: GrantRequest): RefusalCode {
-    return options.isCovered(need) ? "too_late" : "no_capacity";
+  function timeoutCode(grantRequest: GrantRequest): RefusalCode {
+    return options.isCovered(grantRequest) ? "too_late" : "no_capacity";
   }
 
   /**
@@ -154,7 +156,7 @@
    */
   function pump(): void {
     for (const waiting of [...recoveries]) {
-      const grant = options.tryGrant(waiting.need);
+      const grant = options.tryGrant(waiting.grantRequest);
       if (grant === "busy") return;
       recoveries.splice(recoveries.indexOf(waiting), 1);
       waiting.settle(
@@ -166,7 +168,7 @@
     const skipped = new Set<QueueTicket<WaitingRequest>>();
     let ticket = queue.peek();
     while (ticket) {
-      const grant = options.tryGrant(ticket.item.need);
+      const grant = options.tryGrant(ticket.item.grantRequest);
       if (grant === "busy") return;
       if (grant === "uncovered") skipped.add(ticket);
       else serve(ticket, grant);
@@ -176,7 +178,7 @@
 
   function serve(ticket: QueueTicket<WaitingRequest>, grant: Grant): void {
     queue.serve(ticket);
-    rate.granted(ticket.facts.cost, { waiting: queue.length() > 0 });
+    rate.recordGrant(ticket.facts.cost, { isBacklogged: queue.length() > 0 });
     ticket.item.settle({ kind: "granted", grant });
   }
 
@@ -199,15 +201,15 @@
  * function that cancels this.
  */
 function onDeadlineOrAbort(
-  need: GrantRequest,
+  grantRequest: GrantRequest,
   until: number,
   onEnd: () => void,
 ): () => void {
   const timer = setTimeout(end, Math.max(0, until - Date.now()));
-  need.signal.addEventListener("abort", end, { once: true });
+  grantRequest.signal.addEventListener("abort", end, { once: true });
   function stopWatching(): void {
     clearTimeout(timer);
-    need.signal.removeEventListener("abort", end);
+    grantRequest.signal.removeEventListener("abort", end);
   }
   function end(): void {
     stopWatching();
--- a/packages/routing/src/pipeline_choice.ts
+++ b/packages/routing/src/pipeline_choice.ts
@@ -79,7 +79,7 @@
 }
 
 function toCandidate(
-  holder: LayerHolder & { readonly place: GroupPosition },
+  holder: LayerHolder & { readonly position: GroupPosition },
   requirements: PipelineRequirements,
 ): Candidate {
   const { settings, inFlight } = holder.engine;
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -89,7 +89,7 @@
   const queues = new Map<string, ModelQueue>();
   const windows = createEngineWindows({
     betweenTokensMs: objectives.betweenTokensMs,
-    largest: limits.answersPerEngine,
+    maxSize: limits.answersPerEngine,
   });
   const random = createRandom(options.seed);
   let waiting = 0;
@@ -121,7 +121,7 @@
     need: CoverRequest & Pick<GrantRequest, "avoid" | "prefer">,
   ) {
     const engines = fleet.engines();
-    windows.follow(engines);
+    windows.update(engines);
     return choosePipeline(engines, {
       ...need,
       failureDomain: options.failureDomain,
@@ -157,8 +157,8 @@
       tryGrant,
       isCovered,
       firstTokenObjectiveMs: objectives.firstTokenMs,
-      largestLength: limits.queueLength,
-      onLength: updateWaiting,
+      maxLength: limits.queueLength,
+      onLengthChange: updateWaiting,
     });
     queues.set(model, created);
     return created;
--- a/packages/routing/src/service_rate.ts
+++ b/packages/routing/src/service_rate.ts
@@ -9,11 +9,11 @@
 /** Service rate of one model's engines, as observed by this instance. */
 export interface ServiceRate {
   /** Starts the measurement when the queue becomes non-empty. */
-  waitBegan(): void;
-  /** Records granted work; `waiting` is whether the queue is non-empty. */
-  granted(cost: number, options: { readonly waiting: boolean }): void;
+  startMeasurement(): void;
+  /** Records granted work; `isBacklogged` is whether the queue is non-empty. */
+  recordGrant(cost: number, options: { readonly isBacklogged: boolean }): void;
   /** Predicted time in milliseconds until `work` has been granted. */
-  predictMs(work: number): number;
+  predictWaitMs(work: number): number;
 }
 
 /** Creates a rate without observations, which predicts no wait. */
@@ -23,10 +23,10 @@
   let intervalStartedAt: number | null = null;
 
   return {
-    waitBegan() {
+    startMeasurement() {
       intervalStartedAt ??= performance.now();
     },
-    granted(cost, { waiting }) {
+    recordGrant(cost, { isBacklogged }) {
       const now = performance.now();
       if (intervalStartedAt !== null) {
         const elapsedMs = now - intervalStartedAt;
@@ -36,9 +36,9 @@
       }
       // With an empty queue, the rate of grants is the arrival rate, not the
       // rate that the engines can sustain.
-      intervalStartedAt = waiting ? now : null;
+      intervalStartedAt = isBacklogged ? now : null;
     },
-    predictMs(work) {
+    predictWaitMs(work) {
       if (costSum === 0 || timeSumMs === 0) return 0;
       return (work * timeSumMs) / costSum;
     },
