--- a/packages/backends/src/engine_fleet_test.ts
+++ b/packages/backends/src/engine_fleet_test.ts
@@ -37,8 +37,8 @@
   const client = { readState: async () => read() } as unknown as EngineClient;
   fleet = createEngineFleet({ engines: [engine], client });
   await vi.advanceTimersByTimeAsync(0);
-  const known = fleet;
-  return () => known.engines()[0]?.usable;
+  const created = fleet;
+  return () => created.engines()[0]?.usable;
 }
 
 describe("engine fleet, use of an engine", () => {
@@ -99,7 +99,9 @@
   fleet = shared;
   await vi.advanceTimersByTimeAsync(0);
   const isUsable = (id: string) =>
-    shared.engines().some((one) => one.settings.id === id && one.usable);
+    shared
+      .engines()
+      .some((engine) => engine.settings.id === id && engine.usable);
   return { fleet: shared, states, reads, changed, isUsable };
 }
 
--- a/packages/backends/src/engine_subset_test.ts
+++ b/packages/backends/src/engine_subset_test.ts
@@ -39,7 +39,7 @@
     }
   });
 
-  it("contains engines of each role, from the own domain if possible", () => {
+  it("contains engines of each role, from its own domain if possible", () => {
     for (const self of members.slice(0, 16)) {
       const { used, watched } = chooseEngines(engines, { self, members });
       const chosen = engines.filter(({ id }) => used.has(id));
@@ -57,7 +57,7 @@
     }
   });
 
-  it("contains engines without roles by whole domains, the own one first", () => {
+  it("contains engines without roles by whole domains, its own first", () => {
     // Placement keeps pipelines within a domain. Four of 650 engines without
     // roles would not cover any model, and every answer would be refused.
     const placed = engines.map((engine) => ({ ...engine, roles: [] }));
@@ -70,7 +70,8 @@
         }),
       );
       expect(domains[0]).toHaveLength(
-        placed.filter((one) => one.failureDomain === self.failureDomain).length,
+        placed.filter((engine) => engine.failureDomain === self.failureDomain)
+          .length,
       );
       const others = new Set(
         domains[1]
@@ -96,8 +97,12 @@
   it("watches engines from other domains when their own has no instances", () => {
     // All instances of one domain are lost. Its engines are still used from
     // other domains, so some instance must detect when one is leaving.
-    const rest = members.filter((one) => one.failureDomain !== "domain-3");
-    const watched = new Set(chooseAll(rest).flatMap((one) => [...one.watched]));
+    const rest = members.filter(
+      (member) => member.failureDomain !== "domain-3",
+    );
+    const watched = new Set(
+      chooseAll(rest).flatMap((subset) => [...subset.watched]),
+    );
     expect(watched.size).toBe(650);
   });
 
--- a/packages/backends/src/service_fleet_test.ts
+++ b/packages/backends/src/service_fleet_test.ts
@@ -61,23 +61,23 @@
     // A server that is shutting down reports this on its health path, while
     // the platform's list still shows it as live.
     let status = HEALTHY;
-    const known = createFleet({
+    const testFleet = createFleet({
       answer: (port) => answer(port === 1 ? status : HEALTHY),
     });
     await vi.advanceTimersByTimeAsync(0);
-    expect(known.choose(servers)).toEqual([first, second]);
+    expect(testFleet.choose(servers)).toEqual([first, second]);
     status = LEAVING;
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(known.choose(servers)).toEqual([second]);
+    expect(testFleet.choose(servers)).toEqual([second]);
     status = HEALTHY;
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(known.choose(servers)).toEqual([first, second]);
+    expect(testFleet.choose(servers)).toEqual([first, second]);
   });
 
   it("excludes a server once a response marks it as leaving", async () => {
-    const known = createFleet({ answer: () => answer(HEALTHY, true) });
-    await known.send(first, request, { timeoutMs: 1_000 });
-    expect(known.choose([first])).toEqual([]);
+    const testFleet = createFleet({ answer: () => answer(HEALTHY, true) });
+    await testFleet.send(first, request, { timeoutMs: 1_000 });
+    expect(testFleet.choose([first])).toEqual([]);
   });
 
   it("orders a failing server last and restores it slowly", async () => {
@@ -85,18 +85,18 @@
     // its first failures, and its first success must not restore its full
     // share of the calls.
     let status = 500;
-    const known = createFleet({
+    const testFleet = createFleet({
       answer: (_port, path) => answer(path === "/health" ? HEALTHY : status),
       random: 0.5,
     });
-    const send = () => known.send(first, request, { timeoutMs: 1_000 });
+    const send = () => testFleet.send(first, request, { timeoutMs: 1_000 });
     await send();
     await send();
-    expect(known.choose(servers)).toEqual([second, first]);
+    expect(testFleet.choose(servers)).toEqual([second, first]);
     status = HEALTHY;
     await send();
-    expect(known.choose(servers)).toEqual([second, first]);
+    expect(testFleet.choose(servers)).toEqual([second, first]);
     for (let count = 0; count < 10; count++) await send();
-    expect(known.choose(servers)).toEqual([first, second]);
+    expect(testFleet.choose(servers)).toEqual([first, second]);
   });
 });
--- a/packages/limits/src/shared_limits.ts
+++ b/packages/limits/src/shared_limits.ts
@@ -22,9 +22,12 @@
   /** Id of the instance that coordinates the organisation's limits. */
   homeOf(organisation: string): string;
   /** Whether the id is this instance's; a report to itself costs nothing. */
-  isSelf(home: string): boolean;
+  isSelf(coordinator: string): boolean;
   /** Resolves to `null` when the coordinator cannot be reached. */
-  report(home: string, report: LimitReport): Promise<LimitVerdicts | null>;
+  report(
+    coordinator: string,
+    report: LimitReport,
+  ): Promise<LimitVerdicts | null>;
 }
 
 /** The limits of all organisations, as applied by one instance. */
@@ -85,8 +88,8 @@
   }
 
   async function sendReports(): Promise<void> {
-    for (const [home, at] of nextReportAt) {
-      if (at < performance.now()) nextReportAt.delete(home);
+    for (const [coordinator, at] of nextReportAt) {
+      if (at < performance.now()) nextReportAt.delete(coordinator);
     }
     const accrued =
       reportsLeft + (REPORTS_PER_SECOND * REPORT_INTERVAL_MS) / 1_000;
@@ -96,12 +99,12 @@
       ([, a], [, b]) => maxRelativeUse(b) - maxRelativeUse(a),
     );
     const sent: Promise<void>[] = [];
-    for (const [home, usages] of heaviestFirst) {
-      if (performance.now() < (nextReportAt.get(home) ?? 0)) continue;
-      const cost = homes.isSelf(home) ? 0 : 1;
+    for (const [coordinator, usages] of heaviestFirst) {
+      if (performance.now() < (nextReportAt.get(coordinator) ?? 0)) continue;
+      const cost = homes.isSelf(coordinator) ? 0 : 1;
       if (cost > reportsLeft) continue;
       reportsLeft -= cost;
-      sent.push(sendReport(home, usages));
+      sent.push(sendReport(coordinator, usages));
     }
     await Promise.all(sent);
   }
@@ -117,28 +120,28 @@
           organisations.delete(organisation);
         continue;
       }
-      const home = homes.homeOf(organisation);
-      const usages = usagesByCoordinator.get(home) ?? [];
+      const coordinator = homes.homeOf(organisation);
+      const usages = usagesByCoordinator.get(coordinator) ?? [];
       usages.push({ organisation, requests, tokens });
-      usagesByCoordinator.set(home, usages);
+      usagesByCoordinator.set(coordinator, usages);
     }
     return usagesByCoordinator;
   }
 
   async function sendReport(
-    home: string,
+    coordinator: string,
     usages: readonly Usage[],
   ): Promise<void> {
     for (const usage of usages) addUsage(usage, -1);
-    const answer = await homes.report(home, { usages: [...usages] });
+    const answer = await homes.report(coordinator, { usages: [...usages] });
     if (!answer) {
       for (const usage of usages) addUsage(usage, 1);
       return;
     }
     const now = performance.now();
     const { nextAfterMs } = answer;
-    if (!homes.isSelf(home))
-      nextReportAt.set(home, now + jittered(nextAfterMs));
+    if (!homes.isSelf(coordinator))
+      nextReportAt.set(coordinator, now + jittered(nextAfterMs));
     const ttlMs = Math.max(MIN_VERDICT_TTL_MS, VERDICT_INTERVALS * nextAfterMs);
     for (const { organisation, share } of answer.verdicts) {
       const found = stateOf(organisation);
--- a/packages/limits/src/shared_limits_test.ts
+++ b/packages/limits/src/shared_limits_test.ts
@@ -25,7 +25,7 @@
 ) {
   const limitsOf = (organisation: string) => limits[organisation];
   const random = xoroshiro128plus(7);
-  let home = createLimitHome({ limitsOf });
+  let coordinator = createLimitHome({ limitsOf });
   let isCut = false;
   let reports = 0;
   const instances = Array.from({ length: size }, (_, at) =>
@@ -36,7 +36,7 @@
         isSelf: () => at === 0,
         async report(_home, report) {
           if (at > 0) reports += 1;
-          return isCut ? null : home.report(report);
+          return isCut ? null : coordinator.report(report);
         },
       },
     }),
@@ -72,7 +72,7 @@
       isCut = value;
     },
     replaceHome() {
-      home = createLimitHome({ limitsOf });
+      coordinator = createLimitHome({ limitsOf });
     },
   };
 }
@@ -170,8 +170,8 @@
       homes: {
         homeOf: (name) => name,
         isSelf: () => false,
-        async report(home) {
-          reportedTo.push(home);
+        async report(coordinator) {
+          reportedTo.push(coordinator);
           return { verdicts: [], nextAfterMs: 0 };
         },
       },
