--- a/packages/backends/src/leaving_servers_test.ts
+++ b/packages/backends/src/leaving_servers_test.ts
@@ -23,22 +23,47 @@
 
 /** Every combination of the platform's list and the server's own report. */
 const precedenceRows = [
-  { list: "live", own: true, said: listWith("live"), leaving: true },
-  { list: "leaving", own: false, said: listWith("leaving"), leaving: false },
-  { list: "nothing", own: true, said: listWith(), leaving: true },
-  { list: "nothing", own: false, said: listWith(), leaving: false },
-  { list: "live", own: null, said: listWith("live"), leaving: false },
-  { list: "leaving", own: null, said: listWith("leaving"), leaving: true },
-  { list: "no list", own: null, said: null, leaving: false },
+  {
+    list: "live",
+    reported: true,
+    instanceList: listWith("live"),
+    leaving: true,
+  },
+  {
+    list: "leaving",
+    reported: false,
+    instanceList: listWith("leaving"),
+    leaving: false,
+  },
+  { list: "nothing", reported: true, instanceList: listWith(), leaving: true },
+  {
+    list: "nothing",
+    reported: false,
+    instanceList: listWith(),
+    leaving: false,
+  },
+  {
+    list: "live",
+    reported: null,
+    instanceList: listWith("live"),
+    leaving: false,
+  },
+  {
+    list: "leaving",
+    reported: null,
+    instanceList: listWith("leaving"),
+    leaving: true,
+  },
+  { list: "no list", reported: null, instanceList: null, leaving: false },
 ] as const;
 
 describe("leaving servers", () => {
   it.each(precedenceRows)(
-    "list: $list, own report: $own -> $leaving",
+    "list: $list, own report: $reported -> leaving: $leaving",
     (row) => {
       const servers = createLeavingServers();
-      servers.applyInstanceList(row.said);
-      if (row.own !== null) servers.recordReport("one", row.own);
+      servers.applyInstanceList(row.instanceList);
+      if (row.reported !== null) servers.recordReport("one", row.reported);
       expect(servers.isLeaving(server)).toBe(row.leaving);
     },
   );
--- a/packages/routing/src/fair_queue.ts
+++ b/packages/routing/src/fair_queue.ts
@@ -33,13 +33,13 @@
 /** A queued request. */
 export interface QueueTicket<T> {
   readonly item: T;
-  readonly facts: QueueFacts;
+  readonly attributes: QueueFacts;
   readonly startTag: number;
 }
 
 /** Queued requests; memory is bounded by their number. */
 export interface FairQueue<T> {
-  push(item: T, facts: QueueFacts): QueueTicket<T>;
+  push(item: T, attributes: QueueFacts): QueueTicket<T>;
   /** Returns the next ticket not in `skipped`, without removing it. */
   peek(skipped?: ReadonlySet<QueueTicket<T>>): QueueTicket<T> | undefined;
   /** Removes a ticket that is served, and charges its cost. */
@@ -47,7 +47,7 @@
   /** Removes a ticket without charging its cost. */
   remove(ticket: QueueTicket<T>): void;
   /** Cost that would be served before a request with these attributes. */
-  workAhead(facts: QueueFacts): number;
+  workAhead(attributes: QueueFacts): number;
   length(): number;
 }
 
@@ -99,13 +99,13 @@
     }
   }
 
-  function startTagOf(state: ClassState<T>, facts: QueueFacts): number {
-    const finish = state.finishTags.get(facts.organisation) ?? 0;
+  function startTagOf(state: ClassState<T>, attributes: QueueFacts): number {
+    const finish = state.finishTags.get(attributes.organisation) ?? 0;
     return Math.max(state.virtualTime, finish);
   }
 
   function removeTicket(ticket: QueueTicket<T>): ClassState<T> {
-    const state = classOf(ticket.facts.priority);
+    const state = classOf(ticket.attributes.priority);
     const index = state.tickets.indexOf(ticket);
     if (index >= 0) state.tickets.splice(index, 1);
     return state;
@@ -126,13 +126,13 @@
   }
 
   return {
-    push(item, facts) {
-      const state = classOf(facts.priority);
+    push(item, attributes) {
+      const state = classOf(attributes.priority);
       activate(state);
-      const startTag = startTagOf(state, facts);
-      const finishTag = startTag + facts.cost / facts.weight;
-      state.finishTags.set(facts.organisation, finishTag);
-      const ticket = { item, facts, startTag };
+      const startTag = startTagOf(state, attributes);
+      const finishTag = startTag + attributes.cost / attributes.weight;
+      state.finishTags.set(attributes.organisation, finishTag);
+      const ticket = { item, attributes, startTag };
       const later = state.tickets.findIndex(
         (queued) => queued.startTag > startTag,
       );
@@ -156,22 +156,23 @@
     serve(ticket) {
       const state = removeTicket(ticket);
       state.virtualTime = Math.max(state.virtualTime, ticket.startTag);
-      state.served += ticket.facts.cost / state.weight;
+      state.served += ticket.attributes.cost / state.weight;
       pruneFinishTags(state);
     },
     remove(ticket) {
       pruneFinishTags(removeTicket(ticket));
     },
-    workAhead(facts) {
-      const ownClass = classOf(facts.priority);
-      const startTag = startTagOf(ownClass, facts);
+    workAhead(attributes) {
+      const ownClass = classOf(attributes.priority);
+      const startTag = startTagOf(ownClass, attributes);
       const ahead = sumCost(
         ownClass.tickets.filter((ticket) => ticket.startTag <= startTag),
       );
       const others = waitingClasses()
         .filter((state) => state !== ownClass)
         .map((state) => {
-          const share = ((ahead + facts.cost) * state.weight) / ownClass.weight;
+          const share =
+            ((ahead + attributes.cost) * state.weight) / ownClass.weight;
           return Math.min(sumCost(state.tickets), share);
         });
       return others.reduce((sum, work) => sum + work, ahead);
@@ -185,5 +186,5 @@
 }
 
 function sumCost<T>(tickets: readonly QueueTicket<T>[]): number {
-  return tickets.reduce((sum, { facts }) => sum + facts.cost, 0);
+  return tickets.reduce((sum, { attributes }) => sum + attributes.cost, 0);
 }
--- a/packages/routing/src/fair_queue_test.ts
+++ b/packages/routing/src/fair_queue_test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { createFairQueue, type FairQueue } from "./fair_queue.ts";
 
-function facts(
+function attributes(
   organisation: string,
   options: { priority?: Priority; cost?: number; weight?: number } = {},
 ) {
@@ -27,17 +27,17 @@
     // single request of a small one would wait behind all of them.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 5; index++) {
-      queue.push(`large-${index}`, facts("large"));
+      queue.push(`large-${index}`, attributes("large"));
     }
-    queue.push("small", facts("small"));
+    queue.push("small", attributes("small"));
     expect(serveAll(queue).indexOf("small")).toBe(1);
   });
 
   it("serves organisations in proportion to their weights", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 30; index++) {
-      queue.push("heavy", facts("heavy", { weight: 3 }));
-      queue.push("light", facts("light", { weight: 1 }));
+      queue.push("heavy", attributes("heavy", { weight: 3 }));
+      queue.push("light", attributes("light", { weight: 1 }));
     }
     const served = serveAll(queue, 20);
     const heavy = served.filter((name) => name === "heavy").length;
@@ -48,8 +48,8 @@
   it("charges long requests more than short ones", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 20; index++) {
-      queue.push("long", facts("long", { cost: 40 }));
-      queue.push("short", facts("short", { cost: 10 }));
+      queue.push("long", attributes("long", { cost: 40 }));
+      queue.push("short", attributes("short", { cost: 10 }));
     }
     const served = serveAll(queue, 20);
     const short = served.filter((name) => name === "short").length;
@@ -61,8 +61,8 @@
     // progress, or hours of overload would be an outage for their callers.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 60; index++) {
-      queue.push("interactive", facts("one", { priority: "interactive" }));
-      queue.push("batch", facts("two", { priority: "batch" }));
+      queue.push("interactive", attributes("one", { priority: "interactive" }));
+      queue.push("batch", attributes("two", { priority: "batch" }));
     }
     const served = serveAll(queue, 51);
     const batch = served.filter((name) => name === "batch").length;
@@ -74,11 +74,11 @@
     // interactive class must not catch up on all of that time at once.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 50; index++) {
-      queue.push("batch", facts("two", { priority: "batch" }));
+      queue.push("batch", attributes("two", { priority: "batch" }));
     }
     serveAll(queue, 40);
     for (let index = 0; index < 100; index++) {
-      queue.push("interactive", facts("one", { priority: "interactive" }));
+      queue.push("interactive", attributes("one", { priority: "interactive" }));
     }
     const served = serveAll(queue, 34);
     const batch = served.filter((name) => name === "batch").length;
@@ -89,19 +89,19 @@
   it("forgets organisations without queued requests", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 6_400; index++) {
-      queue.push("one", facts(`organisation-${index}`));
+      queue.push("one", attributes(`organisation-${index}`));
     }
     expect(serveAll(queue, 10_000)).toHaveLength(6_400);
     expect(queue.length()).toBe(0);
-    expect(queue.workAhead(facts("organisation-1"))).toBe(0);
+    expect(queue.workAhead(attributes("organisation-1"))).toBe(0);
   });
 
   it("reports how much work is ahead of a request", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 5; index++) {
-      queue.push("large", facts("large"));
+      queue.push("large", attributes("large"));
     }
-    expect(queue.workAhead(facts("large"))).toBe(50);
-    expect(queue.workAhead(facts("small"))).toBe(10);
+    expect(queue.workAhead(attributes("large"))).toBe(50);
+    expect(queue.workAhead(attributes("small"))).toBe(10);
   });
 });
--- a/packages/routing/src/model_queue.ts
+++ b/packages/routing/src/model_queue.ts
@@ -59,20 +59,23 @@
   }
 
   async function acquire(grantRequest: GrantRequest): Promise<GrantResult> {
-    const facts = factsOf(grantRequest);
+    const attributes = attributesOf(grantRequest);
     if (length() === 0) {
       const grant = options.tryGrant(grantRequest);
       if (typeof grant !== "string") {
-        rate.recordGrant(facts.cost, { isBacklogged: false });
+        rate.recordGrant(attributes.cost, { isBacklogged: false });
         return { kind: "granted", grant };
       }
     }
     if (grantRequest.isRecovery) return recover(grantRequest);
     if (length() >= options.maxLength) {
-      return refuse("queue_full", rate.predictWaitMs(queue.workAhead(facts)));
+      return refuse(
+        "queue_full",
+        rate.predictWaitMs(queue.workAhead(attributes)),
+      );
     }
     const predictedWaitMs = rate.predictWaitMs(
-      queue.workAhead(facts) + facts.cost,
+      queue.workAhead(attributes) + attributes.cost,
     );
     const admission = admit(
       { ...grantRequest.request, predictedWaitMs, firstTokenMs },
@@ -82,17 +85,19 @@
       const { retryAfterSeconds } = admission;
       return { kind: "refused", code: "too_late", retryAfterSeconds };
     }
-    return waitInQueue(grantRequest, { facts, until: admission.until });
+    return waitInQueue(grantRequest, { attributes, until: admission.until });
   }
 
   function waitInQueue(
     grantRequest: GrantRequest,
-    entry: { readonly facts: QueueFacts; readonly until: number },
+    entry: { readonly attributes: QueueFacts; readonly until: number },
   ): Promise<GrantResult> {
     return new Promise((resolve) => {
       const stopWatching = onDeadlineOrAbort(grantRequest, entry.until, () => {
         queue.remove(ticket);
-        const predictedMs = rate.predictWaitMs(queue.workAhead(entry.facts));
+        const predictedMs = rate.predictWaitMs(
+          queue.workAhead(entry.attributes),
+        );
         settle(refuse(timeoutCode(grantRequest), predictedMs));
       });
       const settle = (result: GrantResult) => {
@@ -101,7 +106,7 @@
         resolve(result);
       };
       rate.startMeasurement();
-      const ticket = queue.push({ grantRequest, settle }, entry.facts);
+      const ticket = queue.push({ grantRequest, settle }, entry.attributes);
       options.onLengthChange(1);
     });
   }
@@ -178,7 +183,9 @@
 
   function serve(ticket: QueueTicket<WaitingRequest>, grant: Grant): void {
     queue.serve(ticket);
-    rate.recordGrant(ticket.facts.cost, { isBacklogged: queue.length() > 0 });
+    rate.recordGrant(ticket.attributes.cost, {
+      isBacklogged: queue.length() > 0,
+    });
     ticket.item.settle({ kind: "granted", grant });
   }
 
@@ -218,7 +225,7 @@
   return stopWatching;
 }
 
-function factsOf({ request }: GrantRequest): QueueFacts {
+function attributesOf({ request }: GrantRequest): QueueFacts {
   return {
     organisation: request.organisation,
     weight: request.weight ?? 1,
