--- a/packages/routing/src/fair_queue_test.ts
+++ b/packages/routing/src/fair_queue_test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { createFairQueue, type FairQueue } from "./fair_queue.ts";
 
-function facts(
+function attributes(
   organisation: string,
   options: { priority?: Priority; cost?: number; weight?: number } = {},
 ) {
@@ -21,23 +21,23 @@
   return served;
 }
 
-describe("fair shares in a queue", () => {
-  it("serve a small organisation between the requests of a large one", () => {
-    // A large organisation has filled the queue. A small one sends a single
-    // request and waits behind all of it, unless shares are kept.
+describe("fair queue", () => {
+  it("serves a small organisation between the requests of a large one", () => {
+    // A large organisation has filled the queue. In order of arrival, the
+    // single request of a small one would wait behind all of them.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 5; index++) {
-      queue.push(`large-${index}`, facts("large"));
+      queue.push(`large-${index}`, attributes("large"));
     }
-    queue.push("small", facts("small"));
+    queue.push("small", attributes("small"));
     expect(serveAll(queue).indexOf("small")).toBe(1);
   });
 
-  it("follow weights", () => {
+  it("serves organisations in proportion to their weights", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 30; index++) {
-      queue.push("heavy", facts("heavy", { weight: 3 }));
-      queue.push("light", facts("light", { weight: 1 }));
+      queue.push("heavy", attributes("heavy", { weight: 3 }));
+      queue.push("light", attributes("light", { weight: 1 }));
     }
     const served = serveAll(queue, 20);
     const heavy = served.filter((name) => name === "heavy").length;
@@ -45,40 +45,40 @@
     expect(heavy).toBeLessThanOrEqual(16);
   });
 
-  it("charge long requests more than short ones", () => {
+  it("charges long requests more than short ones", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 20; index++) {
-      queue.push("long", facts("long", { cost: 40 }));
-      queue.push("short", facts("short", { cost: 10 }));
+      queue.push("long", attributes("long", { cost: 40 }));
+      queue.push("short", attributes("short", { cost: 10 }));
     }
     const served = serveAll(queue, 20);
     const short = served.filter((name) => name === "short").length;
     expect(short).toBeGreaterThanOrEqual(15);
   });
 
-  it("put urgent classes first and never stop the others", () => {
-    // Interactive work never ends. Batch work has to go on all the same, or
-    // an overload of a few hours would look like an outage to its callers.
+  it("prefers urgent classes without starving the others", () => {
+    // Interactive requests arrive without a break. Batch requests must still
+    // progress, or hours of overload would be an outage for their callers.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 60; index++) {
-      queue.push("interactive", facts("one", { priority: "interactive" }));
-      queue.push("batch", facts("two", { priority: "batch" }));
+      queue.push("interactive", attributes("one", { priority: "interactive" }));
+      queue.push("batch", attributes("two", { priority: "batch" }));
     }
     const served = serveAll(queue, 51);
     const batch = served.filter((name) => name === "batch").length;
     expect(batch).toBe(3);
   });
 
-  it("give no credit for time in which a class asked for nothing", () => {
-    // Batch work was served alone for a long time. When interactive work
-    // starts, it must not be owed all of that time at once, nor may batch.
+  it("gives a class no credit for the time it was idle", () => {
+    // Only batch requests were served before interactive ones arrive. The
+    // interactive class must not catch up on all of that time at once.
     const queue = createFairQueue<string>();
     for (let index = 0; index < 50; index++) {
-      queue.push("batch", facts("two", { priority: "batch" }));
+      queue.push("batch", attributes("two", { priority: "batch" }));
     }
     serveAll(queue, 40);
     for (let index = 0; index < 100; index++) {
-      queue.push("interactive", facts("one", { priority: "interactive" }));
+      queue.push("interactive", attributes("one", { priority: "interactive" }));
     }
     const served = serveAll(queue, 34);
     const batch = served.filter((name) => name === "batch").length;
@@ -86,22 +86,22 @@
     expect(batch).toBeLessThanOrEqual(3);
   });
 
-  it("forget organisations that wait for nothing", () => {
+  it("forgets organisations without queued requests", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 6_400; index++) {
-      queue.push("one", facts(`organisation-${index}`));
+      queue.push("one", attributes(`organisation-${index}`));
     }
     expect(serveAll(queue, 10_000)).toHaveLength(6_400);
     expect(queue.length()).toBe(0);
-    expect(queue.workAhead(facts("organisation-1"))).toBe(0);
+    expect(queue.workAhead(attributes("organisation-1"))).toBe(0);
   });
 
-  it("say how much work is ahead of a request", () => {
+  it("reports how much work is ahead of a request", () => {
     const queue = createFairQueue<string>();
     for (let index = 0; index < 5; index++) {
-      queue.push("large", facts("large"));
+      queue.push("large", attributes("large"));
     }
-    expect(queue.workAhead(facts("large"))).toBe(50);
-    expect(queue.workAhead(facts("small"))).toBe(10);
+    expect(queue.workAhead(attributes("large"))).toBe(50);
+    expect(queue.workAhead(attributes("small"))).toBe(10);
   });
 });
--- a/packages/routing/src/model_queue.ts
+++ b/packages/routing/src/model_queue.ts
@@ -1,4 +1,4 @@
-/** The requests that wait for the engines of one model. */
+/** Queue of the requests that wait for the engines of one model. */
 import { admit, retryAfter } from "./admission.ts";
 import {
   createFairQueue,
@@ -13,44 +13,44 @@
 } from "./router.ts";
 import { createServiceRate } from "./service_rate.ts";
 
-/** Weight of an older first-token time against a new one. */
-const FIRST_TOKEN_KEEP = 0.9;
-/** Share of the work of a decoded token that a token of a prompt costs. */
-const PROMPT_COST = 0.05;
+/** Weight of the previous average of first-token times. */
+const FIRST_TOKEN_SMOOTHING = 0.9;
+/** Cost of a prompt token relative to a decoded token. */
+const PROMPT_TOKEN_COST = 0.05;
 
-/** Why no engines were found: all are full, or some layers have none. */
+/** Why no engines were found: all are full, or no engine holds some layers. */
 export type Shortage = "busy" | "uncovered";
 
-/** Tries to find engines now. */
-export type TryGrant = (need: GrantRequest) => Grant | Shortage;
+/** Occupies engines if a pipeline is free now. */
+export type TryGrant = (grantRequest: GrantRequest) => Grant | Shortage;
 
 export interface ModelQueueOptions {
   readonly tryGrant: TryGrant;
-  /** Whether usable engines hold the layers; occupies none. */
-  readonly isCovered: (need: GrantRequest) => boolean;
+  /** Whether usable engines hold the layers; occupies no engine. */
+  readonly isCovered: (grantRequest: GrantRequest) => boolean;
   readonly firstTokenObjectiveMs: number;
-  readonly largestLength: number;
+  readonly maxLength: number;
   /** Called whenever the number of waiting requests changes. */
-  readonly onLength: (change: 1 | -1) => void;
+  readonly onLengthChange: (change: 1 | -1) => void;
 }
 
 export interface ModelQueue {
-  acquire(need: GrantRequest): Promise<GrantResult>;
-  /** Grants whatever can be granted now. */
+  acquire(grantRequest: GrantRequest): Promise<GrantResult>;
+  /** Grants engines to queued requests, as far as there is capacity. */
   pump(): void;
   observeFirstToken(afterGrantMs: number): void;
   length(): number;
 }
 
-interface Waiting {
-  readonly need: GrantRequest;
+interface WaitingRequest {
+  readonly grantRequest: GrantRequest;
   readonly settle: (result: GrantResult) => void;
 }
 
-/** Creates a queue with nothing in it. */
+/** Creates an empty queue. */
 export function createModelQueue(options: ModelQueueOptions): ModelQueue {
-  const queue = createFairQueue<Waiting>();
-  const recoveries: Waiting[] = [];
+  const queue = createFairQueue<WaitingRequest>();
+  const recoveries: WaitingRequest[] = [];
   const rate = createServiceRate();
   let firstTokenMs = 0;
 
@@ -58,96 +58,110 @@
     return queue.length() + recoveries.length;
   }
 
-  async function acquire(need: GrantRequest): Promise<GrantResult> {
-    const facts = factsOf(need);
+  async function acquire(grantRequest: GrantRequest): Promise<GrantResult> {
+    const attributes = attributesOf(grantRequest);
     if (length() === 0) {
-      const grant = options.tryGrant(need);
+      const grant = options.tryGrant(grantRequest);
       if (typeof grant !== "string") {
-        rate.granted(facts.cost, { waiting: false });
+        rate.recordGrant(attributes.cost, { isBacklogged: false });
         return { kind: "granted", grant };
       }
     }
-    if (need.isRecovery) return recover(need);
-    if (length() >= options.largestLength) {
-      return refuse("queue_full", rate.predictMs(queue.workAhead(facts)));
+    if (grantRequest.isRecovery) return recover(grantRequest);
+    if (length() >= options.maxLength) {
+      return refuse(
+        "queue_full",
+        rate.predictWaitMs(queue.workAhead(attributes)),
+      );
     }
-    const predictedWaitMs = rate.predictMs(queue.workAhead(facts) + facts.cost);
+    const predictedWaitMs = rate.predictWaitMs(
+      queue.workAhead(attributes) + attributes.cost,
+    );
     const admission = admit(
-      { ...need.request, predictedWaitMs, firstTokenMs },
+      { ...grantRequest.request, predictedWaitMs, firstTokenMs },
       options,
     );
     if (admission.kind === "refused") {
       const { retryAfterSeconds } = admission;
       return { kind: "refused", code: "too_late", retryAfterSeconds };
     }
-    return waitInLine(need, { facts, until: admission.until });
+    return waitInQueue(grantRequest, { attributes, until: admission.until });
   }
 
-  function waitInLine(
-    need: GrantRequest,
-    place: { readonly facts: QueueFacts; readonly until: number },
+  function waitInQueue(
+    grantRequest: GrantRequest,
+    entry: { readonly attributes: QueueFacts; readonly until: number },
   ): Promise<GrantResult> {
     return new Promise((resolve) => {
-      const leave = watchEnd(need, place.until, () => {
+      const stopWatching = onDeadlineOrAbort(grantRequest, entry.until, () => {
         queue.remove(ticket);
-        const predictedMs = rate.predictMs(queue.workAhead(place.facts));
-        settle(refuse(lateCode(need), predictedMs));
+        const predictedMs = rate.predictWaitMs(
+          queue.workAhead(entry.attributes),
+        );
+        settle(refuse(timeoutCode(grantRequest), predictedMs));
       });
       const settle = (result: GrantResult) => {
-        leave();
-        options.onLength(-1);
+        stopWatching();
+        options.onLengthChange(-1);
         resolve(result);
       };
-      rate.waitBegan();
-      const ticket = queue.push({ need, settle }, place.facts);
-      options.onLength(1);
+      rate.startMeasurement();
+      const ticket = queue.push({ grantRequest, settle }, entry.attributes);
+      options.onLengthChange(1);
     });
   }
 
   /**
-   * An answer that lost a stage goes first: its caller is reading it. If the
-   * engines that it may still use do not cover the layers, it is told at once,
-   * since only the answer itself can decide to try one it avoids again.
+   * Handles an answer that lost a stage. It precedes new requests, since its
+   * caller is already reading it. If the engines that it does not avoid cannot
+   * cover the layers, it is refused immediately, since only the answer itself
+   * can decide to retry an engine that it avoids.
    */
-  async function recover(need: GrantRequest): Promise<GrantResult> {
-    const grant = options.tryGrant(need);
+  async function recover(grantRequest: GrantRequest): Promise<GrantResult> {
+    const grant = options.tryGrant(grantRequest);
     if (grant === "uncovered") return refuse("no_capacity", 0);
-    if (grant === "busy") return waitAsRecovery(need);
+    if (grant === "busy") return waitAsRecovery(grantRequest);
     return { kind: "granted", grant };
   }
 
-  function waitAsRecovery(need: GrantRequest): Promise<GrantResult> {
+  function waitAsRecovery(grantRequest: GrantRequest): Promise<GrantResult> {
     return new Promise((resolve) => {
-      const leave = watchEnd(need, need.request.deadlineAt, () => {
-        recoveries.splice(recoveries.indexOf(waiting), 1);
-        settle(refuse("deadline", 0));
-      });
+      const stopWatching = onDeadlineOrAbort(
+        grantRequest,
+        grantRequest.request.deadlineAt,
+        () => {
+          recoveries.splice(recoveries.indexOf(waiting), 1);
+          settle(refuse("deadline", 0));
+        },
+      );
       const settle = (result: GrantResult) => {
-        leave();
-        options.onLength(-1);
+        stopWatching();
+        options.onLengthChange(-1);
         resolve(result);
       };
-      const waiting: Waiting = { need, settle };
+      const waiting: WaitingRequest = { grantRequest, settle };
       recoveries.push(waiting);
-      options.onLength(1);
+      options.onLengthChange(1);
     });
   }
 
   /**
-   * What a request that waited in vain lacked. Only asked, not tried: engines
-   * granted to a request that is given up on would stay busy for good.
+   * Returns the code for a request whose wait timed out. It checks coverage
+   * without a grant: engines granted to an abandoned request would never be
+   * released.
    */
-  function lateCode(need: GrantRequest): RefusalCode {
-    return options.isCovered(need) ? "too_late" : "no_capacity";
+  function timeoutCode(grantRequest: GrantRequest): RefusalCode {
+    return options.isCovered(grantRequest) ? "too_late" : "no_capacity";
   }
 
   /**
-   * Stops at the first request for which all engines are full. One whose
-   * layers nobody holds (yet) must not hold up those behind it.
+   * Grants engines until the first request for which all engines are full. A
+   * request whose layers no engine holds yet is skipped, so that it does not
+   * block those behind it.
    */
   function pump(): void {
     for (const waiting of [...recoveries]) {
-      const grant = options.tryGrant(waiting.need);
+      const grant = options.tryGrant(waiting.grantRequest);
       if (grant === "busy") return;
       recoveries.splice(recoveries.indexOf(waiting), 1);
       waiting.settle(
@@ -156,10 +170,10 @@
           : { kind: "granted", grant },
       );
     }
-    const skipped = new Set<QueueTicket<Waiting>>();
+    const skipped = new Set<QueueTicket<WaitingRequest>>();
     let ticket = queue.peek();
     while (ticket) {
-      const grant = options.tryGrant(ticket.item.need);
+      const grant = options.tryGrant(ticket.item.grantRequest);
       if (grant === "busy") return;
       if (grant === "uncovered") skipped.add(ticket);
       else serve(ticket, grant);
@@ -167,9 +181,11 @@
     }
   }
 
-  function serve(ticket: QueueTicket<Waiting>, grant: Grant): void {
+  function serve(ticket: QueueTicket<WaitingRequest>, grant: Grant): void {
     queue.serve(ticket);
-    rate.granted(ticket.facts.cost, { waiting: queue.length() > 0 });
+    rate.recordGrant(ticket.attributes.cost, {
+      isBacklogged: queue.length() > 0,
+    });
     ticket.item.settle({ kind: "granted", grant });
   }
 
@@ -181,37 +197,40 @@
       firstTokenMs =
         firstTokenMs === 0
           ? afterGrantMs
-          : firstTokenMs * FIRST_TOKEN_KEEP +
-            afterGrantMs * (1 - FIRST_TOKEN_KEEP);
+          : firstTokenMs * FIRST_TOKEN_SMOOTHING +
+            afterGrantMs * (1 - FIRST_TOKEN_SMOOTHING);
     },
   };
 }
 
-/** Calls `giveUp` once, at the time or when the caller leaves. */
-function watchEnd(
-  need: GrantRequest,
+/**
+ * Calls `onEnd` once, at the time `until` or when the caller aborts. Returns a
+ * function that cancels this.
+ */
+function onDeadlineOrAbort(
+  grantRequest: GrantRequest,
   until: number,
-  giveUp: () => void,
+  onEnd: () => void,
 ): () => void {
   const timer = setTimeout(end, Math.max(0, until - Date.now()));
-  need.signal.addEventListener("abort", end, { once: true });
-  function leave(): void {
+  grantRequest.signal.addEventListener("abort", end, { once: true });
+  function stopWatching(): void {
     clearTimeout(timer);
-    need.signal.removeEventListener("abort", end);
+    grantRequest.signal.removeEventListener("abort", end);
   }
   function end(): void {
-    leave();
-    giveUp();
+    stopWatching();
+    onEnd();
   }
-  return leave;
+  return stopWatching;
 }
 
-function factsOf({ request }: GrantRequest): QueueFacts {
+function attributesOf({ request }: GrantRequest): QueueFacts {
   return {
     organisation: request.organisation,
     weight: request.weight ?? 1,
     priority: request.priority,
-    cost: request.maxTokens + request.promptTokens.length * PROMPT_COST,
+    cost: request.maxTokens + request.promptTokens.length * PROMPT_TOKEN_COST,
   };
 }
 
--- a/packages/routing/src/service_rate.ts
+++ b/packages/routing/src/service_rate.ts
@@ -1,44 +1,44 @@
 /**
- * How fast waiting work is taken up, learned from what was taken up while
- * something waited. It turns work ahead into a predicted wait.
+ * Estimates the rate at which queued work is granted engines, from the grants
+ * made while the queue was not empty. Predicts the wait for an amount of work.
  */
 
-/** Time over which old observations fade, in milliseconds. */
-const FADE_MS = 2_000;
+/** Time constant of the exponential decay of observations. */
+const DECAY_TIME_MS = 2_000;
 
-/** Rate of one model's engines as this instance sees them. */
+/** Service rate of one model's engines, as observed by this instance. */
 export interface ServiceRate {
-  /** Something began to wait, after a time in which nothing did. */
-  waitBegan(): void;
-  /** Work was granted; `waiting` says whether more was waiting. */
-  granted(cost: number, options: { readonly waiting: boolean }): void;
-  /** Predicted time in milliseconds until `work` is taken up. */
-  predictMs(work: number): number;
+  /** Starts the measurement when the queue becomes non-empty. */
+  startMeasurement(): void;
+  /** Records granted work; `isBacklogged` is whether the queue is non-empty. */
+  recordGrant(cost: number, options: { readonly isBacklogged: boolean }): void;
+  /** Predicted time in milliseconds until `work` has been granted. */
+  predictWaitMs(work: number): number;
 }
 
-/** Creates a rate about which nothing is known: no wait is predicted. */
+/** Creates a rate without observations, which predicts no wait. */
 export function createServiceRate(): ServiceRate {
   let costSum = 0;
   let timeSumMs = 0;
-  let lastAt: number | null = null;
+  let intervalStartedAt: number | null = null;
 
   return {
-    waitBegan() {
-      lastAt ??= performance.now();
+    startMeasurement() {
+      intervalStartedAt ??= performance.now();
     },
-    granted(cost, { waiting }) {
+    recordGrant(cost, { isBacklogged }) {
       const now = performance.now();
-      if (lastAt !== null) {
-        const passedMs = now - lastAt;
-        const keep = Math.exp(-passedMs / FADE_MS);
-        costSum = costSum * keep + cost;
-        timeSumMs = timeSumMs * keep + passedMs;
+      if (intervalStartedAt !== null) {
+        const elapsedMs = now - intervalStartedAt;
+        const decay = Math.exp(-elapsedMs / DECAY_TIME_MS);
+        costSum = costSum * decay + cost;
+        timeSumMs = timeSumMs * decay + elapsedMs;
       }
-      // Time in which nothing waited tells how much came, not how much the
-      // engines could take.
-      lastAt = waiting ? now : null;
+      // With an empty queue, the rate of grants is the arrival rate, not the
+      // rate that the engines can sustain.
+      intervalStartedAt = isBacklogged ? now : null;
     },
-    predictMs(work) {
+    predictWaitMs(work) {
       if (costSum === 0 || timeSumMs === 0) return 0;
       return (work * timeSumMs) / costSum;
     },
