--- a/packages/backends/src/engine_fleet.ts
+++ b/packages/backends/src/engine_fleet.ts
@@ -25,7 +25,7 @@
 const log = createLogger("backends");
 
 /** An engine with its last known state. */
-export interface KnownEngine {
+export interface EngineSnapshot {
   readonly settings: EngineSettings;
   /** `null` until the first successful read. */
   readonly state: EngineState | null;
@@ -37,7 +37,7 @@
 
 /** The engines that this instance uses, with their state. */
 export interface EngineFleet {
-  engines(): readonly KnownEngine[];
+  engines(): readonly EngineSnapshot[];
   /** Applies a state that was returned by another call. */
   observe(state: EngineState): void;
   /** Marks an engine unusable until its next successful read. */
--- a/packages/backends/src/service_fleet.ts
+++ b/packages/backends/src/service_fleet.ts
@@ -36,7 +36,7 @@
     options: SendOptions,
   ): Promise<ServiceResult>;
   /** Applies the platform's instance list; `null` if it is unavailable. */
-  takeList(list: InstanceList | null): void;
+  applyInstanceList(list: InstanceList | null): void;
   stop(): void;
 }
 
@@ -116,7 +116,7 @@
       observe(server, { result, elapsedMs: performance.now() - startedAt });
       return result;
     },
-    takeList: leaving.applyInstanceList,
+    applyInstanceList: leaving.applyInstanceList,
     stop() {
       for (const timer of timers) clearInterval(timer);
     },
--- a/packages/bench/src/capacity/control_slopes.ts
+++ b/packages/bench/src/capacity/control_slopes.ts
@@ -3,7 +3,7 @@
   chooseEngines,
   createEngineFleet,
   type EngineClient,
-  type KnownEngine,
+  type EngineSnapshot,
 } from "@rosemarypin/backends";
 import { createRouter } from "@rosemarypin/routing";
 import { type AnswerRequest, settingsSchema } from "@rosemarypin/schemas";
@@ -80,7 +80,9 @@
 }
 
 function createSampleRouter(count: number) {
-  const engines: KnownEngine[] = listOf(count, (index) => sampleEngine(index));
+  const engines: EngineSnapshot[] = listOf(count, (index) =>
+    sampleEngine(index),
+  );
   const { shape } = settingsSchema;
   const limits = shape.limits.parse({});
   const objectives = shape.objectives.parse({});
--- a/packages/bench/src/capacity/sample_objects.ts
+++ b/packages/bench/src/capacity/sample_objects.ts
@@ -1,5 +1,5 @@
 /** Objects of realistic size for the slopes. */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type {
   Catalogue,
   MemberRecord,
@@ -19,7 +19,7 @@
 };
 
 /** Engine `index` of a domain in which each pipeline has four stages. */
-export function sampleEngine(index: number): KnownEngine {
+export function sampleEngine(index: number): EngineSnapshot {
   const width = LAYERS / STAGES;
   const stage = index % STAGES;
   const layers = { from: stage * width, to: (stage + 1) * width };
--- a/packages/bench/src/capacity/slopes.ts
+++ b/packages/bench/src/capacity/slopes.ts
@@ -2,7 +2,7 @@
 import {
   choosePipeline,
   createFairQueue,
-  type QueueFacts,
+  type QueueAttributes,
 } from "@rosemarypin/routing";
 import { noteRecordSchema } from "@rosemarypin/schemas";
 import {
@@ -161,7 +161,7 @@
   });
 }
 
-function factsOf(index: number): QueueFacts {
+function factsOf(index: number): QueueAttributes {
   const organisation = `organisation-${index % 6_400}`;
   return { organisation, weight: 1, priority: "standard", cost: 100 };
 }
--- a/packages/bench/src/limits/limits_bench.ts
+++ b/packages/bench/src/limits/limits_bench.ts
@@ -1,7 +1,7 @@
 /** How well shared limits hold, and what they cost, in one process. */
 import {
-  chooseHome,
-  createLimitHome,
+  chooseCoordinator,
+  createLimitCoordinator,
   createLimitsOf,
   createSharedLimits,
   type LimitReport,
@@ -49,7 +49,9 @@
   }));
   const limitsOf = createLimitsOf(limited);
   const ids = Array.from({ length: row.instances }, (_, at) => `entry-${at}`);
-  const homes = new Map(ids.map((id) => [id, createLimitHome({ limitsOf })]));
+  const homes = new Map(
+    ids.map((id) => [id, createLimitCoordinator({ limitsOf })]),
+  );
   const random = xoroshiro128plus(1);
   /** Sent and received by each instance. */
   const bytes = new Map<string, number>();
@@ -57,8 +59,8 @@
   function createInstance(id: string) {
     return createSharedLimits({
       limitsOf,
-      homes: {
-        homeOf: (organisation) => chooseHome(organisation, ids),
+      coordinators: {
+        coordinatorOf: (organisation) => chooseCoordinator(organisation, ids),
         isSelf: (home) => home === id,
         async report(home, report: LimitReport) {
           const answer = homes.get(home)?.report(report) ?? null;
--- a/packages/bench/src/throughput/baseline_router.ts
+++ b/packages/bench/src/throughput/baseline_router.ts
@@ -1,5 +1,5 @@
 /** Baselines that today's policy is measured against. */
-import type { EngineFleet, KnownEngine } from "@rosemarypin/backends";
+import type { EngineFleet, EngineSnapshot } from "@rosemarypin/backends";
 import type { GrantRequest, GrantResult, Router } from "@rosemarypin/routing";
 import type { Stage } from "@rosemarypin/schemas";
 
@@ -12,7 +12,7 @@
 export type BaselineName = (typeof baselineNames)[number];
 
 /** Picks one of the engines that hold the next layers. */
-type Pick = (engines: readonly KnownEngine[]) => KnownEngine | undefined;
+type Pick = (engines: readonly EngineSnapshot[]) => EngineSnapshot | undefined;
 
 /** Creates a router that grants at once and never refuses for load. */
 export function createBaselineRouter(
@@ -53,7 +53,7 @@
 }
 
 function startsAt(
-  known: KnownEngine,
+  known: EngineSnapshot,
   need: GrantRequest,
   layer: number,
 ): boolean {
--- a/packages/bench/src/throughput/virtual/virtual_fleet.ts
+++ b/packages/bench/src/throughput/virtual/virtual_fleet.ts
@@ -1,5 +1,5 @@
 /** What one virtual instance knows of the engines, and how it counts on them. */
-import type { EngineFleet, KnownEngine } from "@rosemarypin/backends";
+import type { EngineFleet, EngineSnapshot } from "@rosemarypin/backends";
 import type { VirtualEngine } from "./virtual_engine.ts";
 
 /** Creates the fleet of one instance; a dead engine is known as such. */
@@ -38,7 +38,7 @@
 function describe(
   { id, failureDomain, layers }: VirtualEngine,
   options: { readonly model: string; readonly version: string },
-): Pick<KnownEngine, "settings" | "state"> {
+): Pick<EngineSnapshot, "settings" | "state"> {
   const { model, version } = options;
   const roles = [{ model, layers }];
   const common = { failureDomain, accelerator: "virtual", roles };
--- a/packages/calls/src/answer_import.ts
+++ b/packages/calls/src/answer_import.ts
@@ -1,5 +1,5 @@
 /** What an answer's attempts import, and what that teaches of the links. */
-import type { EngineFleet, KnownEngine } from "@rosemarypin/backends";
+import type { EngineFleet, EngineSnapshot } from "@rosemarypin/backends";
 import type { AttemptRequest, EngineEvent, Stage } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 import {
@@ -54,7 +54,7 @@
   progress: Progress,
   options: {
     readonly stages: readonly Stage[];
-    readonly engines: ReadonlyMap<string, KnownEngine>;
+    readonly engines: ReadonlyMap<string, EngineSnapshot>;
   },
 ): CacheHolder[] {
   const names = new Set(options.stages.map(({ engine }) => engine));
@@ -73,7 +73,7 @@
 
 function byName(
   fleet: Pick<EngineFleet, "engines">,
-): ReadonlyMap<string, KnownEngine> {
+): ReadonlyMap<string, EngineSnapshot> {
   return new Map(fleet.engines().map((known) => [known.settings.id, known]));
 }
 
--- a/packages/calls/src/answer_import_choice.ts
+++ b/packages/calls/src/answer_import_choice.ts
@@ -1,5 +1,5 @@
 /** Chooses, for the stages without KV cache, between import and recompute. */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type { CacheSource, LayerRange, Stage } from "@rosemarypin/schemas";
 import type { LinkSpeeds } from "./answer_link_speeds.ts";
 
@@ -14,7 +14,7 @@
 
 /** An engine that is no stage any more and still has the KV cache. */
 export interface CacheHolder {
-  readonly engine: KnownEngine;
+  readonly engine: EngineSnapshot;
   readonly layers: LayerRange;
 }
 
@@ -22,7 +22,7 @@
   /** Stages that have their KV cache, by engine. */
   readonly kept: ReadonlySet<string>;
   readonly holders: readonly CacheHolder[];
-  readonly engines: ReadonlyMap<string, KnownEngine>;
+  readonly engines: ReadonlyMap<string, EngineSnapshot>;
   /** Positions that each stage must have. */
   readonly positions: number;
   readonly links: LinkSpeeds;
@@ -125,7 +125,7 @@
 /** Bytes of a stage's KV cache, as the engine that holds it counts them. */
 export function cacheBytesOf(
   { layers }: Pick<Stage, "layers">,
-  options: { readonly positions: number; readonly holder: KnownEngine },
+  options: { readonly positions: number; readonly holder: EngineSnapshot },
 ): number {
   const { positions, holder } = options;
   const bytes = holder.state?.cacheBytes ?? USUAL_CACHE_BYTES;
@@ -133,6 +133,6 @@
 }
 
 /** The end of a link at an engine. */
-export function linkEndOf({ settings }: KnownEngine) {
+export function linkEndOf({ settings }: EngineSnapshot) {
   return { engine: settings.id, failureDomain: settings.failureDomain };
 }
--- a/packages/calls/src/answer_import_choice_test.ts
+++ b/packages/calls/src/answer_import_choice_test.ts
@@ -1,4 +1,4 @@
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type { LayerRange, Stage } from "@rosemarypin/schemas";
 import { expect, test } from "vitest";
 import { chooseImports } from "./answer_import_choice.ts";
@@ -10,7 +10,7 @@
 ];
 const POSITIONS = 200;
 
-function engine(id: string): KnownEngine {
+function engine(id: string): EngineSnapshot {
   const address = { host: "127.0.0.1", port: 1 };
   return {
     settings: {
--- a/packages/calls/src/answer_worse.ts
+++ b/packages/calls/src/answer_worse.ts
@@ -1,5 +1,5 @@
 /** Finds the engines that a running answer does better to leave. */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type { Stage } from "@rosemarypin/schemas";
 
 export interface WorseOptions {
@@ -28,7 +28,7 @@
  * hold the same layers.
  */
 export function findWorse(
-  engines: readonly KnownEngine[],
+  engines: readonly EngineSnapshot[],
   options: WorseOptions,
 ): WorseEngines {
   const { stages, restTokens, restMs, leastMs, slowMs } = options;
@@ -60,7 +60,7 @@
   return { from, avoid };
 }
 
-function namesOf(engines: readonly KnownEngine[]): string[] {
+function namesOf(engines: readonly EngineSnapshot[]): string[] {
   return engines.map(({ settings }) => settings.id);
 }
 
@@ -70,7 +70,7 @@
  * and between engines that are all slow none moves.
  */
 function findUsualTimes(
-  engines: readonly KnownEngine[],
+  engines: readonly EngineSnapshot[],
   model: string,
 ): ReadonlyMap<string, number> {
   const times = new Map<string, number[]>();
@@ -89,7 +89,7 @@
   );
 }
 
-function layersOf({ settings }: KnownEngine, model: string): string {
+function layersOf({ settings }: EngineSnapshot, model: string): string {
   const role = settings.roles.find((one) => one.model === model);
   return role ? `${role.layers.from}-${role.layers.to}` : "";
 }
--- a/packages/calls/src/answer_worse_test.ts
+++ b/packages/calls/src/answer_worse_test.ts
@@ -1,4 +1,4 @@
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import { scriptedAddress, scriptedState } from "@rosemarypin/fakes";
 import { expect, test } from "vitest";
 import { findWorse } from "./answer_worse.ts";
@@ -8,7 +8,7 @@
 function engine(
   port: number,
   state: { readonly sendMs?: number; readonly leaving?: boolean },
-): KnownEngine {
+): EngineSnapshot {
   return {
     settings: {
       id: `engine-${port}`,
@@ -25,7 +25,7 @@
 }
 
 /** An answer on engine 1, with 100 tokens to come in 2 s. */
-function find(engines: readonly KnownEngine[], restTokens = 100) {
+function find(engines: readonly EngineSnapshot[], restTokens = 100) {
   const stage = {
     engine: "engine-1",
     address: scriptedAddress(1),
--- a/packages/calls/src/single_call_test.ts
+++ b/packages/calls/src/single_call_test.ts
@@ -82,7 +82,7 @@
   const fleet: ServiceFleet = {
     choose: (servers) => servers,
     send: (_server, request) => options.send(request),
-    takeList: () => {},
+    applyInstanceList: () => {},
     stop: () => {},
   };
   let current = note;
--- a/packages/daemon/src/contract/fake_parts.ts
+++ b/packages/daemon/src/contract/fake_parts.ts
@@ -6,7 +6,7 @@
 } from "@rosemarypin/backends";
 import { createRecoveryLimiter } from "@rosemarypin/calls";
 import {
-  createLimitHome,
+  createLimitCoordinator,
   createLimitsOf,
   createSharedLimits,
   type SharedLimits,
@@ -206,11 +206,11 @@
 /** Limits of a deployment of one instance. */
 export function createOwnLimits(settings: Settings): SharedLimits {
   const limitsOf = createLimitsOf(settings.organisations);
-  const home = createLimitHome({ limitsOf });
+  const home = createLimitCoordinator({ limitsOf });
   return createSharedLimits({
     limitsOf,
-    homes: {
-      homeOf: () => "",
+    coordinators: {
+      coordinatorOf: () => "",
       isSelf: () => true,
       report: async (_home, report) => home.report(report),
     },
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -2,7 +2,7 @@
 import { createEngineClient, createEngineFleet } from "@rosemarypin/backends";
 import { createLinkSpeeds, createRecoveryLimiter } from "@rosemarypin/calls";
 import {
-  createLimitHome,
+  createLimitCoordinator,
   createLimitsOf,
   createSharedLimits,
 } from "@rosemarypin/limits";
@@ -180,10 +180,10 @@
   });
   const requests = createRequestMemory({ instance: id });
   const limitsOf = createLimitsOf(settings.organisations);
-  const limitHome = createLimitHome({ limitsOf });
+  const limitHome = createLimitCoordinator({ limitsOf });
   const limits = createSharedLimits({
     limitsOf,
-    homes: createLimitHomes({ id, membership, peers, home: limitHome }),
+    coordinators: createLimitHomes({ id, membership, peers, home: limitHome }),
   });
   const levels = createInstanceLevels(settings);
   countNotes(keeper, { levels, objectives: settings.objectives });
--- a/packages/daemon/src/limit_homes.ts
+++ b/packages/daemon/src/limit_homes.ts
@@ -1,8 +1,8 @@
 /** How instances report the use of limits to the homes of organisations. */
 import {
-  chooseHome,
-  type LimitHome,
-  type LimitHomes,
+  chooseCoordinator,
+  type LimitCoordinator,
+  type LimitCoordinators,
   limitReportSchema,
   limitVerdictsSchema,
 } from "@rosemarypin/limits";
@@ -17,11 +17,13 @@
   readonly membership: Pick<Membership, "peers">;
   readonly peers: PeerCaller;
   /** Judges the organisations whose home this instance is. */
-  readonly home: LimitHome;
+  readonly home: LimitCoordinator;
 }
 
 /** Creates the way to the homes of all organisations. */
-export function createLimitHomes(options: LimitHomesOptions): LimitHomes {
+export function createLimitHomes(
+  options: LimitHomesOptions,
+): LimitCoordinators {
   const { id, membership, peers } = options;
   let living: readonly string[] = [];
   let listedAt = Number.NEGATIVE_INFINITY;
@@ -36,7 +38,8 @@
   }
 
   return {
-    homeOf: (organisation) => chooseHome(organisation, listLiving()),
+    coordinatorOf: (organisation) =>
+      chooseCoordinator(organisation, listLiving()),
     isSelf: (home) => home === id,
     async report(home, report) {
       if (home === id) return options.home.report(report);
@@ -53,7 +56,7 @@
 }
 
 /** The peers' method that takes such reports. */
-export function limitHomeMethods(home: LimitHome) {
+export function limitHomeMethods(home: LimitCoordinator) {
   return {
     [METHOD]: (params: unknown) => home.report(limitReportSchema.parse(params)),
   };
--- a/packages/daemon/src/plain_services.ts
+++ b/packages/daemon/src/plain_services.ts
@@ -65,7 +65,8 @@
 
   async function readList(): Promise<void> {
     const { instanceList } = settings.platform;
-    if (instanceList) fleet.takeList(await readInstanceList(instanceList));
+    if (instanceList)
+      fleet.applyInstanceList(await readInstanceList(instanceList));
   }
 
   return {
--- a/packages/limits/src/coordinator_choice.ts
+++ b/packages/limits/src/coordinator_choice.ts
@@ -9,7 +9,7 @@
  * agree without messages, and an instance that joins or leaves moves only its
  * own organisations. Returns an empty string if there are no instances.
  */
-export function chooseHome(
+export function chooseCoordinator(
   organisation: string,
   instances: readonly string[],
 ): string {
--- a/packages/limits/src/limit_coordinator.ts
+++ b/packages/limits/src/limit_coordinator.ts
@@ -12,7 +12,7 @@
 const IDLE_TTL_MS = 10 * AVERAGING_TIME_MS;
 
 /** Coordinator of the limits of some organisations. */
-export interface LimitHome {
+export interface LimitCoordinator {
   /** Adds an instance's usage; returns the shares that may be admitted. */
   report(report: LimitReport): LimitVerdicts;
 }
@@ -29,9 +29,9 @@
  * it. After a change of coordinator, limits may be exceeded until the new one
  * has received reports for about the averaging time.
  */
-export function createLimitHome(options: {
+export function createLimitCoordinator(options: {
   readonly limitsOf: LimitsOf;
-}): LimitHome {
+}): LimitCoordinator {
   const uses = new Map<string, Use>();
   const interval = createReportInterval();
   let sweptAt = performance.now();
--- a/packages/limits/src/shared_limits.ts
+++ b/packages/limits/src/shared_limits.ts
@@ -18,9 +18,9 @@
   | { readonly kind: "refused"; readonly retryAfterSeconds: number };
 
 /** Locates coordinators and sends reports to them. */
-export interface LimitHomes {
+export interface LimitCoordinators {
   /** Id of the instance that coordinates the organisation's limits. */
-  homeOf(organisation: string): string;
+  coordinatorOf(organisation: string): string;
   /** Whether the id is this instance's; a report to itself costs nothing. */
   isSelf(coordinator: string): boolean;
   /** Resolves to `null` when the coordinator cannot be reached. */
@@ -65,9 +65,9 @@
  */
 export function createSharedLimits(options: {
   readonly limitsOf: LimitsOf;
-  readonly homes: LimitHomes;
+  readonly coordinators: LimitCoordinators;
 }): SharedLimits {
-  const { homes } = options;
+  const { coordinators } = options;
   const organisations = new Map<string, OrganisationState>();
   const stopped = new AbortController();
   /** Earliest next report per coordinator, by `performance.now()`. */
@@ -101,7 +101,7 @@
     const sent: Promise<void>[] = [];
     for (const [coordinator, usages] of heaviestFirst) {
       if (performance.now() < (nextReportAt.get(coordinator) ?? 0)) continue;
-      const cost = homes.isSelf(coordinator) ? 0 : 1;
+      const cost = coordinators.isSelf(coordinator) ? 0 : 1;
       if (cost > reportsLeft) continue;
       reportsLeft -= cost;
       sent.push(sendReport(coordinator, usages));
@@ -120,7 +120,7 @@
           organisations.delete(organisation);
         continue;
       }
-      const coordinator = homes.homeOf(organisation);
+      const coordinator = coordinators.coordinatorOf(organisation);
       const usages = usagesByCoordinator.get(coordinator) ?? [];
       usages.push({ organisation, requests, tokens });
       usagesByCoordinator.set(coordinator, usages);
@@ -133,14 +133,16 @@
     usages: readonly Usage[],
   ): Promise<void> {
     for (const usage of usages) addUsage(usage, -1);
-    const answer = await homes.report(coordinator, { usages: [...usages] });
+    const answer = await coordinators.report(coordinator, {
+      usages: [...usages],
+    });
     if (!answer) {
       for (const usage of usages) addUsage(usage, 1);
       return;
     }
     const now = performance.now();
     const { nextAfterMs } = answer;
-    if (!homes.isSelf(coordinator))
+    if (!coordinators.isSelf(coordinator))
       nextReportAt.set(coordinator, now + jittered(nextAfterMs));
     const ttlMs = Math.max(MIN_VERDICT_TTL_MS, VERDICT_INTERVALS * nextAfterMs);
     for (const { organisation, share } of answer.verdicts) {
--- a/packages/limits/src/shared_limits_test.ts
+++ b/packages/limits/src/shared_limits_test.ts
@@ -2,7 +2,7 @@
 import { uniformInt } from "pure-rand/distribution/uniformInt";
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { createLimitHome } from "./limit_coordinator.ts";
+import { createLimitCoordinator } from "./limit_coordinator.ts";
 import { createSharedLimits, type SharedLimits } from "./shared_limits.ts";
 
 const STEP_MS = 100;
@@ -25,14 +25,14 @@
 ) {
   const limitsOf = (organisation: string) => limits[organisation];
   const random = xoroshiro128plus(7);
-  let coordinator = createLimitHome({ limitsOf });
+  let coordinator = createLimitCoordinator({ limitsOf });
   let isCut = false;
   let reports = 0;
   const instances = Array.from({ length: size }, (_, at) =>
     createSharedLimits({
       limitsOf,
-      homes: {
-        homeOf: () => "0",
+      coordinators: {
+        coordinatorOf: () => "0",
         isSelf: () => at === 0,
         async report(_home, report) {
           if (at > 0) reports += 1;
@@ -72,7 +72,7 @@
       isCut = value;
     },
     replaceHome() {
-      coordinator = createLimitHome({ limitsOf });
+      coordinator = createLimitCoordinator({ limitsOf });
     },
   };
 }
@@ -167,8 +167,8 @@
     const reportedTo: string[] = [];
     const instance = createSharedLimits({
       limitsOf: (name) => limits[name],
-      homes: {
-        homeOf: (name) => name,
+      coordinators: {
+        coordinatorOf: (name) => name,
         isSelf: () => false,
         async report(coordinator) {
           reportedTo.push(coordinator);
--- a/packages/routing/src/engine_chain.ts
+++ b/packages/routing/src/engine_chain.ts
@@ -1,5 +1,5 @@
 /** Finds the cheapest chain of engines through a version's layers. */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type { LayerRange } from "@rosemarypin/schemas";
 import { arePartners, type GroupPosition } from "./engine_partners.ts";
 
@@ -11,7 +11,7 @@
 
 /** An engine as a possible stage of a chain. */
 export interface Candidate {
-  readonly engine: KnownEngine;
+  readonly engine: EngineSnapshot;
   readonly layers: LayerRange;
   readonly position: GroupPosition;
   readonly cost: number;
--- a/packages/routing/src/engine_partners.ts
+++ b/packages/routing/src/engine_partners.ts
@@ -5,7 +5,7 @@
  * different queue at each stage: their gaps vary by up to one batch, and some
  * exceed the objective although the engines still have capacity.
  */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type { LayerRange } from "@rosemarypin/schemas";
 
 /** Position of an engine among those that hold the same layers. */
@@ -16,7 +16,7 @@
 
 /** An engine and the range of a version's layers that it holds. */
 export interface LayerHolder {
-  readonly engine: KnownEngine;
+  readonly engine: EngineSnapshot;
   readonly layers: LayerRange;
 }
 
--- a/packages/routing/src/engine_partners_test.ts
+++ b/packages/routing/src/engine_partners_test.ts
@@ -1,10 +1,10 @@
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import { describe, expect, it } from "vitest";
 import { arePartners, assignGroupPositions } from "./engine_partners.ts";
 
 function holder(id: string, failureDomain: string, from: number) {
   const layers = { from, to: from + 4 };
-  const engine: KnownEngine = {
+  const engine: EngineSnapshot = {
     settings: {
       id,
       failureDomain,
--- a/packages/routing/src/engine_windows.ts
+++ b/packages/routing/src/engine_windows.ts
@@ -1,5 +1,5 @@
 /** Concurrency windows of all engines that this instance uses. */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import { createEngineWindow, type EngineWindow } from "./engine_window.ts";
 
 export interface EngineWindows {
@@ -10,7 +10,7 @@
    * Records which engines are usable and what runs on them. Resets the window
    * of an engine that has become usable after it was not.
    */
-  update(engines: readonly KnownEngine[]): void;
+  update(engines: readonly EngineSnapshot[]): void;
 }
 
 /** Creates an empty set; the window of an engine is created on first use. */
--- a/packages/routing/src/fair_queue.ts
+++ b/packages/routing/src/fair_queue.ts
@@ -21,7 +21,7 @@
 const SPARE_FINISH_TAGS = 64;
 
 /** Attributes of a request that determine its position. */
-export interface QueueFacts {
+export interface QueueAttributes {
   readonly organisation: string;
   /** Weight of the organisation relative to others of its class. */
   readonly weight: number;
@@ -33,13 +33,13 @@
 /** A queued request. */
 export interface QueueTicket<T> {
   readonly item: T;
-  readonly attributes: QueueFacts;
+  readonly attributes: QueueAttributes;
   readonly startTag: number;
 }
 
 /** Queued requests; memory is bounded by their number. */
 export interface FairQueue<T> {
-  push(item: T, attributes: QueueFacts): QueueTicket<T>;
+  push(item: T, attributes: QueueAttributes): QueueTicket<T>;
   /** Returns the next ticket not in `skipped`, without removing it. */
   peek(skipped?: ReadonlySet<QueueTicket<T>>): QueueTicket<T> | undefined;
   /** Removes a ticket that is served, and charges its cost. */
@@ -47,7 +47,7 @@
   /** Removes a ticket without charging its cost. */
   remove(ticket: QueueTicket<T>): void;
   /** Cost that would be served before a request with these attributes. */
-  workAhead(attributes: QueueFacts): number;
+  workAhead(attributes: QueueAttributes): number;
   length(): number;
 }
 
@@ -99,7 +99,10 @@
     }
   }
 
-  function startTagOf(state: ClassState<T>, attributes: QueueFacts): number {
+  function startTagOf(
+    state: ClassState<T>,
+    attributes: QueueAttributes,
+  ): number {
     const finish = state.finishTags.get(attributes.organisation) ?? 0;
     return Math.max(state.virtualTime, finish);
   }
--- a/packages/routing/src/model_queue.ts
+++ b/packages/routing/src/model_queue.ts
@@ -2,7 +2,7 @@
 import { admit, retryAfter } from "./admission.ts";
 import {
   createFairQueue,
-  type QueueFacts,
+  type QueueAttributes,
   type QueueTicket,
 } from "./fair_queue.ts";
 import type {
@@ -90,7 +90,7 @@
 
   function waitInQueue(
     grantRequest: GrantRequest,
-    entry: { readonly attributes: QueueFacts; readonly until: number },
+    entry: { readonly attributes: QueueAttributes; readonly until: number },
   ): Promise<GrantResult> {
     return new Promise((resolve) => {
       const stopWatching = onDeadlineOrAbort(grantRequest, entry.until, () => {
@@ -225,7 +225,7 @@
   return stopWatching;
 }
 
-function attributesOf({ request }: GrantRequest): QueueFacts {
+function attributesOf({ request }: GrantRequest): QueueAttributes {
   return {
     organisation: request.organisation,
     weight: request.weight ?? 1,
--- a/packages/routing/src/pipeline_choice.ts
+++ b/packages/routing/src/pipeline_choice.ts
@@ -1,5 +1,5 @@
 /** Chooses a chain of engines that covers each layer of a version once. */
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import type { ModelVersion, Stage } from "@rosemarypin/schemas";
 import { type Candidate, cheapestChain } from "./engine_chain.ts";
 import {
@@ -42,7 +42,7 @@
  * whose window is full.
  */
 export function choosePipeline(
-  engines: readonly KnownEngine[],
+  engines: readonly EngineSnapshot[],
   requirements: PipelineRequirements,
 ): PipelineChoice {
   const holders = engines.flatMap((engine) =>
@@ -63,7 +63,7 @@
 }
 
 function findLayerHolders(
-  engine: KnownEngine,
+  engine: EngineSnapshot,
   requirements: PipelineRequirements,
 ): LayerHolder[] {
   const { state, usable } = engine;
--- a/packages/routing/src/pipeline_choice_test.ts
+++ b/packages/routing/src/pipeline_choice_test.ts
@@ -1,4 +1,4 @@
-import type { KnownEngine } from "@rosemarypin/backends";
+import type { EngineSnapshot } from "@rosemarypin/backends";
 import { describe, expect, it } from "vitest";
 import {
   choosePipeline,
@@ -16,9 +16,12 @@
   id: string,
   layers: readonly [number, number],
   options: Partial<
-    Pick<KnownEngine, "usable" | "inFlight"> & { holds: string; domain: string }
+    Pick<EngineSnapshot, "usable" | "inFlight"> & {
+      holds: string;
+      domain: string;
+    }
   > = {},
-): KnownEngine {
+): EngineSnapshot {
   const [from, to] = layers;
   const { usable = true, inFlight = 0, holds = "v1", domain = "a" } = options;
   const roles = [{ model: "assist", layers: { from, to } }];
@@ -48,7 +51,7 @@
 }
 
 function choose(
-  engines: readonly KnownEngine[],
+  engines: readonly EngineSnapshot[],
   requirements: Partial<PipelineRequirements> = {},
 ): string {
   const choice = choosePipeline(engines, {
--- a/packages/routing/src/router_test.ts
+++ b/packages/routing/src/router_test.ts
@@ -1,4 +1,4 @@
-import type { EngineFleet, KnownEngine } from "@rosemarypin/backends";
+import type { EngineFleet, EngineSnapshot } from "@rosemarypin/backends";
 import type { AnswerRequest, Priority } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { createRouter, type GrantResult, type Router } from "./router.ts";
@@ -36,7 +36,7 @@
   };
   let inFlight = 0;
   const health = { usable: true, elsewhere: 0 };
-  const engine = (): KnownEngine => ({
+  const engine = (): EngineSnapshot => ({
     settings,
     state,
     usable: health.usable,
