--- a/packages/gateway/src/following/change_log.ts
+++ b/packages/gateway/src/following/change_log.ts
@@ -2,7 +2,10 @@
 import type { StoredObject } from "@rosemarypin/store";
 import { z } from "zod";
 
-/** Changes kept by a trim; a follower further behind gets all objects. */
+/**
+ * Number of the latest changes that stay when the log is trimmed. A follower
+ * that is further behind gets all objects.
+ */
 const MIN_KEPT_CHANGES = 512;
 
 /** Encoding of objects in calls between instances. */
--- a/packages/gateway/src/following/object_mirror.ts
+++ b/packages/gateway/src/following/object_mirror.ts
@@ -33,8 +33,12 @@
  */
 const REMOVAL_GRACE_MS = 2_500;
 
-const logger = createLogger("store");
+const log = createLogger("store");
 
+/**
+ * Keeps mirrors up to date through a relay: an instance that watches the store
+ * and forwards its own copy. An instance that polls a relay is its follower.
+ */
 export interface RelayFollower {
   /** Whether a relay currently keeps the mirrors up to date. */
   isFollowing(): boolean;
@@ -84,7 +88,7 @@
 export function startObjectMirror(options: ObjectMirrorOptions): ObjectMirror {
   const { store, prefix, signal, relayFollower } = options;
   const objectsByKey = new Map<string, StoredObject>();
-  const log = createChangeLog(objectsByKey);
+  const changeLog = createChangeLog(objectsByKey);
   /** Timers that remove missing objects after the grace period, by key. */
   const removalTimers = new Map<string, NodeJS.Timeout>();
   const fullReadIntervalMs =
@@ -120,7 +124,7 @@
       const now = performance.now();
       if (failures > 0) {
         recoveredAt = now;
-        logger.info("store_back", { prefix, failures });
+        log.info("store_back", { prefix, failures });
       }
       failures = 0;
       lastAnswerAt = now;
@@ -162,7 +166,7 @@
     if (failures === 1) {
       firstFailureAt = performance.now();
       const detail = "detail" in failure ? failure.detail : "";
-      logger.warn("store_away", { prefix, kind: failure.kind, detail });
+      log.warn("store_away", { prefix, kind: failure.kind, detail });
     }
     await pause(fullJitterMs(failures, RETRY_BACKOFF), signal);
   }
@@ -173,7 +177,7 @@
     const lastVersion = objectsByKey.get(object.key)?.version ?? -Infinity;
     if (object.version <= lastVersion) return;
     objectsByKey.set(object.key, object);
-    log.recordChange(object.key);
+    changeLog.recordChange(object.key);
     options.onObject(object);
   }
 
@@ -200,13 +204,13 @@
   function removeObject(key: string): void {
     removalTimers.delete(key);
     objectsByKey.delete(key);
-    log.recordChange(key);
+    changeLog.recordChange(key);
     options.onRemoved?.(key);
   }
 
   return {
     prefix,
-    log,
+    log: changeLog,
     revision: () => currentRevision,
     objects: () => [...objectsByKey.values()],
     applyPeerSnapshot({ revision, objects }) {
--- a/packages/gateway/src/following/object_mirror_test.ts
+++ b/packages/gateway/src/following/object_mirror_test.ts
@@ -28,7 +28,7 @@
     prefix: "k/",
     signal: abortController.signal,
     onObject: ({ key, version }) => events.push(`${key}@${version}`),
-    onRemoved: (key) => events.push(`${key} gone`),
+    onRemoved: (key) => events.push(`${key} removed`),
   });
   return {
     mirror,
@@ -83,7 +83,7 @@
     const { events, answer, end } = setUp();
     await answer(batch([["k/a", 5]], { isWhole: true }));
     await answer(batch([], { removed: ["k/a"] }));
-    expect(events).toEqual(["k/a@5", "k/a gone"]);
+    expect(events).toEqual(["k/a@5", "k/a removed"]);
     end();
   });
 
@@ -109,7 +109,7 @@
     await vi.advanceTimersByTimeAsync(1_500);
     await answer(batch([["k/back", 8]]));
     await vi.advanceTimersByTimeAsync(1_500);
-    expect(events).toEqual(["k/back@8", "k/lost gone"]);
+    expect(events).toEqual(["k/back@8", "k/lost removed"]);
     end();
   });
 
@@ -135,7 +135,7 @@
     const { mirror, events, answer, end } = setUp();
     await answer(batch([["k/a", 1]], { isWhole: true }));
     mirror.applyPeerSnapshot({ revision: 9, objects: [] });
-    expect(events).toEqual(["k/a@1", "k/a gone"]);
+    expect(events).toEqual(["k/a@1", "k/a removed"]);
     end();
   });
 
--- a/packages/gateway/src/following/peer_snapshots.ts
+++ b/packages/gateway/src/following/peer_snapshots.ts
@@ -17,7 +17,10 @@
  * attempt if the first peer is cut off as well.
  */
 const REQUEST_INTERVAL_MS = 400;
-/** Peers are called only later, as the next store retry ends most failures. */
+/**
+ * Duration of an outage of the store after which peers are called. Most
+ * failures end earlier, with the next retry of the store call.
+ */
 const UNAVAILABLE_THRESHOLD_MS = 250;
 const CALL_TIMEOUT_MS = 350;
 
--- a/packages/gateway/src/following/presence.ts
+++ b/packages/gateway/src/following/presence.ts
@@ -58,7 +58,7 @@
    * an expired heartbeat may only be cut off and still send retries.
    */
   countPossiblyLive(): number;
-  /** Names of other instances that may send requests in a failure domain. */
+  /** Names of other instances in a failure domain that may send requests. */
   possibleSendersOf(failureDomain: string): readonly string[];
   /** Whether a failure domain has another live instance. */
   hasOtherLiveIn(failureDomain: string): boolean;
@@ -130,7 +130,10 @@
     return Math.min(MAX_RENEWAL_INTERVAL_MS, boundedMs);
   }
 
-  /** Compares with the time of the last read; see `liveEntries`. */
+  /**
+   * Whether the heartbeat had not expired at the last successful read. Ages are
+   * measured then, so that none expires while the store is unreachable.
+   */
   function isLive({ lastChangedAt }: ObservedPresence): boolean {
     return lastReadAt - lastChangedAt < EXPIRY_RENEWALS * renewalIntervalMs();
   }
@@ -172,20 +175,17 @@
       });
     }
     const listedKeys = new Set(listResult.value.map((object) => object.key));
-    for (const [other, observed] of observedByKey) {
-      if (!listedKeys.has(other)) observedByKey.delete(other);
+    for (const [key, observed] of observedByKey) {
+      if (!listedKeys.has(key)) observedByKey.delete(key);
       else if (now - observed.lastChangedAt > CLEANUP_AFTER_MS) {
-        await store.remove(other, { expectedVersion: observed.version });
-        observedByKey.delete(other);
-        log.info("instance_forgotten", { key: other });
+        await store.remove(key, { expectedVersion: observed.version });
+        observedByKey.delete(key);
+        log.info("instance_forgotten", { key });
       }
     }
   }
 
-  /**
-   * Instances whose heartbeat has not expired. Ages are measured at the last
-   * successful read, so that no instance expires while the store is unreachable.
-   */
+  /** Store keys and objects of other instances that are live and not leaving. */
   function liveEntries(): [string, ObservedPresence][] {
     return [...observedByKey]
       .filter(([, { presence }]) => !presence.leaving)
@@ -197,16 +197,17 @@
   }
 
   function liveOthers(): LiveInstance[] {
-    return liveEntries().map(([other, { presence }]) => ({
-      instance: other.slice(PRESENCE_PREFIX.length),
+    return liveEntries().map(([key, { presence }]) => ({
+      instance: key.slice(PRESENCE_PREFIX.length),
       failureDomain: presence.failureDomain,
       peer: presence.peer,
     }));
   }
 
   /**
-   * Other instances that may send requests in a domain. Ages are measured at
-   * the last successful read, as in `liveEntries`.
+   * Names of other instances in a domain that may send requests. Ages are
+   * measured at the last successful read, so that no instance is dropped while
+   * the store is unreachable.
    */
   function possibleSendersIn(domain: string): string[] {
     return [...observedByKey]
@@ -216,7 +217,7 @@
           !presence.leaving &&
           lastReadAt - lastChangedAt < senderTimeoutMs(),
       )
-      .map(([other]) => other.slice(PRESENCE_PREFIX.length));
+      .map(([key]) => key.slice(PRESENCE_PREFIX.length));
   }
 
   function countLiveIn(domain: string): number {
@@ -238,13 +239,13 @@
     hasOtherLiveIn: (domain) => countLiveIn(domain) > 0,
     countLiveBefore: (domain) =>
       liveEntries().filter(
-        ([other, { presence }]) =>
-          other < ownKey &&
+        ([key, { presence }]) =>
+          key < ownKey &&
           (domain === null || presence.failureDomain === domain),
       ).length,
     others: () =>
-      [...observedByKey].map(([other, observed]) => ({
-        instance: other.slice(PRESENCE_PREFIX.length),
+      [...observedByKey].map(([key, observed]) => ({
+        instance: key.slice(PRESENCE_PREFIX.length),
         failureDomain: observed.presence.failureDomain,
         leaving: observed.presence.leaving,
         isLive: isLive(observed),
--- a/packages/gateway/src/following/relay_choice.ts
+++ b/packages/gateway/src/following/relay_choice.ts
@@ -7,6 +7,7 @@
 /** Instances per relay, including the relay itself. */
 const INSTANCES_PER_RELAY = 8;
 
+/** Name and address of an instance, by which relays are chosen and called. */
 export interface DomainInstance {
   readonly instance: string;
   /** Address for calls from other instances; `null` if it has none. */
--- a/packages/gateway/src/following/relay_follower.ts
+++ b/packages/gateway/src/following/relay_follower.ts
@@ -45,7 +45,7 @@
   options: RelayFollowerOptions,
 ): RelayFollower {
   const { mirrors, caller, relays, signal } = options;
-  let following = false;
+  let isFollowing = false;
   let failures = 0;
   const listeners = new Set<() => void>();
   void run();
@@ -74,7 +74,7 @@
   }
 
   function endFollowing(): void {
-    following = false;
+    isFollowing = false;
     for (const listener of [...listeners]) listener();
   }
 
@@ -95,8 +95,8 @@
         positions.has(prefix),
       );
       if (!hasEveryPrefix) return "prefix_unknown";
-      if (!following) log.info("relay_followed", { peer: relay.host });
-      following = true;
+      if (!isFollowing) log.info("relay_followed", { peer: relay.host });
+      isFollowing = true;
       failures = 0;
     }
     return "no_relay_any_more";
@@ -125,7 +125,7 @@
   }
 
   return {
-    isFollowing: () => following,
+    isFollowing: () => isFollowing,
     onEnded(listener) {
       listeners.add(listener);
       return () => listeners.delete(listener);
--- a/packages/gateway/src/following/relay_protocol.ts
+++ b/packages/gateway/src/following/relay_protocol.ts
@@ -7,7 +7,9 @@
 export const LONG_POLL_TIMEOUT_MS = 600;
 
 export const followRequestSchema = z.object({
+  /** How long the relay may delay its response while nothing changes. */
   holdMs: z.number().min(0).max(LONG_POLL_TIMEOUT_MS),
+  /** Last position for each prefix; `null` to get all objects. */
   positions: z.array(
     z.object({ prefix: z.string(), position: positionSchema.nullable() }),
   ),
--- a/packages/gateway/src/forwarding/retry_budget.ts
+++ b/packages/gateway/src/forwarding/retry_budget.ts
@@ -32,14 +32,14 @@
   instanceCount: () => number,
 ): RetryBudget {
   const sliceMs = settings.windowMs / WINDOW_SLICES;
-  const services = new Map<string, WindowSlice[]>();
+  const slicesByService = new Map<string, WindowSlice[]>();
 
   function recentSlicesOf(service: string): WindowSlice[] {
     const oldest = Math.floor(performance.now() / sliceMs) - WINDOW_SLICES;
-    const recentSlices = (services.get(service) ?? []).filter(
+    const recentSlices = (slicesByService.get(service) ?? []).filter(
       ({ index }) => index > oldest,
     );
-    services.set(service, recentSlices);
+    slicesByService.set(service, recentSlices);
     return recentSlices;
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -84,16 +84,19 @@
     ],
     signal,
   });
-  const [configurations, servers] = mirrors;
-  if (!configurations || !servers)
+  const [configurationMirror, serverMirror] = mirrors;
+  if (!configurationMirror || !serverMirror)
     throw new Error("no mirror for a store prefix");
-  const orderingRight = createPlacementLeases({
+  const placementLeases = createPlacementLeases({
     store,
     instance,
     failureDomain,
     presence,
     storeOutageMs: () =>
-      Math.min(configurations.unavailableMs(), servers.unavailableMs()),
+      Math.min(
+        configurationMirror.unavailableMs(),
+        serverMirror.unavailableMs(),
+      ),
   });
   const budget = createRetryBudget(
     settings.retryBudget,
@@ -101,18 +104,18 @@
   );
   const exchange = createBackendExchange();
   const serverChoice = createServerChoice({ fleet, failureDomain });
-  const engineUse = createEngineUsage();
+  const engineUsage = createEngineUsage();
   const router = createPipelineRouter({
     fleet,
     failureDomain,
-    usage: engineUse,
+    usage: engineUsage,
     possibleSendersOf: presence.possibleSendersOf,
   });
   if (settings.peers) {
     startUsageExchange({
       transport: await createUdpTransport(settings.peers),
       instance,
-      usage: engineUse,
+      usage: engineUsage,
       peers: () =>
         chooseUsageDestinations(failureDomain, presence.liveOthers()),
       signal,
@@ -124,13 +127,13 @@
     fleet,
     engines,
     signal,
-    fencingNumberFor: (domain) => orderingRight.fencingNumberFor(domain),
+    fencingNumberFor: (domain) => placementLeases.fencingNumberFor(domain),
   });
   const metrics = createGatewayMetrics({
     inProgress: () => listener.inProgress(),
     configurationVersion: () => keeper.applied()?.version ?? 0,
-    configurationAgeSeconds: () => configurations.ageMs() / 1_000,
-    serverListAgeSeconds: () => servers.ageMs() / 1_000,
+    configurationAgeSeconds: () => configurationMirror.ageMs() / 1_000,
+    serverListAgeSeconds: () => serverMirror.ageMs() / 1_000,
   });
   const listener = createCallerListener({
     keeper,
@@ -138,7 +141,8 @@
     forward,
     warmUp: createWarmUp(
       () =>
-        keeper.applied() !== null && servers.ageMs() < Number.POSITIVE_INFINITY,
+        keeper.applied() !== null &&
+        serverMirror.ageMs() < Number.POSITIVE_INFINITY,
     ),
     stoppingForMs: () =>
       stoppedAt === null ? null : performance.now() - stoppedAt,
@@ -209,7 +213,7 @@
     const elapsedMs = () => performance.now() - startedAt;
     log.info("stopping", { in_progress: listener.inProgress() });
     void presence.leave();
-    void orderingRight.release();
+    void placementLeases.release();
     const drainLimitMs = settings.graceMs - SHUTDOWN_MARGIN_MS;
     const isIdle = () => listener.inProgress() === 0;
     // Idle connections stay open meanwhile, and the next response on each asks
--- a/packages/gateway/src/protocol.ts
+++ b/packages/gateway/src/protocol.ts
@@ -121,7 +121,10 @@
     order: PlaceOrder,
     timeoutMs: number,
   ): Promise<OrderOutcome>;
-  /** Replaces later stages in the pipeline of an answer in progress. */
+  /**
+   * Replaces later stages in the pipeline of an answer in progress; `address` is
+   * that of its first engine.
+   */
   changePipeline(
     address: string,
     change: {
--- a/packages/gateway/src/streams/engine_usage.ts
+++ b/packages/gateway/src/streams/engine_usage.ts
@@ -3,16 +3,20 @@
 import type { AddressedStage } from "../protocol.ts";
 
 /**
- * Validity of the loads that a peer reported, several of the intervals at which
- * instances report. The usage of a peer without valid loads is estimated.
+ * Time for which the loads that a peer reported are valid, a multiple of the
+ * interval between reports. The usage of a peer without valid loads is
+ * estimated.
  */
 export const PEER_LOADS_VALID_MS = 5_000;
 
-/** Load that answers put on one engine, in tokens times layers. */
+/**
+ * Load that answers put on one engine. Both values are in tokens times layers:
+ * a token counts once for each layer that the engine runs for its answer.
+ */
 export interface EngineLoad {
-  /** Memory that the answers hold once they are complete. */
+  /** KV cache memory that the answers occupy when they are complete. */
   readonly held: number;
-  /** Prompts that the engine has not read yet. */
+  /** Prompt tokens that the engine has not read yet. */
   readonly unread: number;
 }
 
--- a/packages/gateway/src/streams/forward_stream.ts
+++ b/packages/gateway/src/streams/forward_stream.ts
@@ -107,9 +107,9 @@
 /** Estimates the tokens of a call's prompt and answer. */
 function estimateSize({ facts, service }: CallerCall): AnswerSize {
   const model = service.engine?.model;
-  const usual = model?.meanAnswerTokens ?? 0;
+  const meanAnswerTokens = model?.meanAnswerTokens ?? 0;
   const promptTokens = facts.promptTokens ?? model?.meanPromptTokens ?? 0;
-  const expected = facts.expectedAnswerTokens ?? usual;
+  const expected = facts.expectedAnswerTokens ?? meanAnswerTokens;
   const answerTokens = Math.min(facts.maxAnswerTokens ?? expected, expected);
   return { promptTokens, answerTokens };
 }
--- a/packages/gateway/src/streams/pipeline_router.ts
+++ b/packages/gateway/src/streams/pipeline_router.ts
@@ -48,16 +48,17 @@
 
 export interface PipelineRouter {
   /**
-   * Reserves the cheapest pipeline; `null` when no permitted engine holds some
-   * layer.
+   * Reserves the cheapest pipeline; `null` when some layer isn't held by any
+   * usable engine that is neither avoided nor loaded beyond `maxLoad`.
    */
   choose(request: PipelineRequest): ChosenPipeline | null;
   /** Whether `choose` would find a pipeline; reserves nothing. */
   hasPipeline(request: PipelineRequest): boolean;
   /**
    * Reserves a copy of the pipeline with other engines in place of one stage;
-   * the caller releases the old one. `null` when no other permitted engine
-   * holds the stage's layers, or when it is the first stage.
+   * the caller releases the old one. `null` when the stage is the first one or
+   * isn't in the pipeline, or when no other engines that `choose` would accept
+   * hold its layers.
    */
   replaceStage(
     pipeline: ChosenPipeline,
@@ -68,7 +69,10 @@
       readonly sameDomain: boolean;
     },
   ): ChosenPipeline | null;
-  /** Ranges of layers that no usable engine holds, such as `20-31,70-80`. */
+  /**
+   * Ranges of layers that no usable engine holds, such as `20-31,70-80`; the
+   * upper ends are exclusive.
+   */
   missingLayers(request: Pick<PipelineRequest, "service" | "avoided">): string;
 }
 
@@ -76,7 +80,7 @@
   readonly fleet: BackendFleet;
   readonly failureDomain: string;
   readonly usage: EngineUsage;
-  /** Names of other instances in a failure domain that may send answers. */
+  /** Names of other instances in a failure domain that may send requests. */
   readonly possibleSendersOf: (failureDomain: string) => readonly string[];
 }
 
@@ -100,7 +104,8 @@
       const { memoryMb, stepFactor, readFactor } = kind;
       const { model } = engine;
       const layers = layersIn(held);
-      const room = kvCapacityTokens(model, { memoryMb, layers }) * layers;
+      const capacityTokenLayers =
+        kvCapacityTokens(model, { memoryMb, layers }) * layers;
       const load = estimateLoad(
         server,
         layers,
@@ -118,7 +123,10 @@
           stepFactor,
           readFactor,
           held,
-          load: Math.max(load.held / Math.max(1, room), reportedLoad),
+          load: Math.max(
+            load.held / Math.max(1, capacityTokenLayers),
+            reportedLoad,
+          ),
           backlogMs: prefillMs(model, { readFactor, tokenLayers: load.unread }),
         },
       ];
@@ -209,8 +217,11 @@
     { size, maxLoad = 1 }: PipelineRequest,
     { model }: EngineShape,
   ): boolean {
-    const room = kvCapacityTokens(model, { memoryMb, layers: layersIn(held) });
-    return load + totalTokens(size) / Math.max(1, room) <= maxLoad;
+    const capacityTokens = kvCapacityTokens(model, {
+      memoryMb,
+      layers: layersIn(held),
+    });
+    return load + totalTokens(size) / Math.max(1, capacityTokens) <= maxLoad;
   }
 
   /** Adds the engines' addresses; `null` if one was removed meanwhile. */
@@ -297,7 +308,10 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-/** Layers that none of the ranges covers, such as `20-31,70-80`. */
+/**
+ * Layers that none of the ranges covers, such as `20-31,70-80`; the upper ends
+ * are exclusive.
+ */
 function describeGaps(ranges: readonly LayerRange[], layers: number): string {
   const gaps: string[] = [];
   let from: number | null = null;
--- a/packages/gateway/src/streams/stage_recovery.ts
+++ b/packages/gateway/src/streams/stage_recovery.ts
@@ -32,7 +32,10 @@
 
 const log = createLogger("streams");
 
-/** A run of an answer; its pipeline changes when a stage is replaced. */
+/**
+ * One attempt to stream an answer. Its pipeline changes when a stage is
+ * replaced.
+ */
 export interface StreamRun {
   pipeline: ChosenPipeline;
   readonly size: AnswerSize;
--- a/packages/gateway/src/streams/stall_detector.ts
+++ b/packages/gateway/src/streams/stall_detector.ts
@@ -21,7 +21,10 @@
 /** Bounds of the silence after which a whole pipeline is checked. */
 const MIN_PIPELINE_SILENCE_MS = 60;
 const MAX_PIPELINE_SILENCE_MS = 350;
-/** That silence as a multiple of the longest recent gap between events. */
+/**
+ * Silence after which a pipeline is checked, as a multiple of the longest recent
+ * gap between its events.
+ */
 const SILENCE_GAP_FACTOR = 1.5;
 /** Factor by which each event reduces the longest recent gap. */
 const GAP_DECAY_PER_EVENT = 0.995;
@@ -62,15 +65,16 @@
   /** A later stage does not respond to this instance or to another stage. */
   | { readonly kind: "stage"; readonly address: string };
 
-/** An answer in progress that the detector follows. */
-export interface FollowedAnswer {
+/** An answer in progress whose events the detector tracks. */
+export interface TrackedAnswer {
   readonly requestId: string;
   /** The current pipeline of the answer. */
   pipeline(): ChosenPipeline;
   onStall(stall: Stall): void;
 }
 
-export interface AnswerFollower {
+/** Receives what happens to one tracked answer. */
+export interface AnswerTracker {
   /** Reports an event of the answer. */
   onEvent(): void;
   /** Reports that the answer's pipeline was changed. */
@@ -79,11 +83,11 @@
 }
 
 export interface StallDetector {
-  follow(answer: FollowedAnswer): AnswerFollower;
+  follow(answer: TrackedAnswer): AnswerTracker;
 }
 
 interface AnswerState {
-  readonly answer: FollowedAnswer;
+  readonly answer: TrackedAnswer;
   group: PipelineGroup;
   /** Whether an event arrived since the last change of the pipeline. */
   hasBegun: boolean;
@@ -213,10 +217,10 @@
     const isSilent =
       begunAnswers.length > 0 &&
       now - group.lastEventAt >= silenceLimitMs(group);
-    const isFirstDue = [...group.members].some(
+    const isFirstEventOverdue = [...group.members].some(
       ({ hasBegun, dueAt }) => !hasBegun && now >= dueAt,
     );
-    if (isSilent || (isFirstDue && begunAnswers.length === 0)) {
+    if (isSilent || (isFirstEventOverdue && begunAnswers.length === 0)) {
       void checkPipeline(group, true);
     } else if ([...group.members].some(({ dueAt }) => now >= dueAt)) {
       void checkPipeline(group, false);
@@ -258,7 +262,7 @@
     evaluateReports(group, probed);
   }
 
-  /** Whether the scheduled tick is late by the delay of a blocked process. */
+  /** Whether the scheduled tick is so late that this process was blocked. */
   function isTickOverdue(): boolean {
     return performance.now() - tickDueAt > PROCESS_STALL_MS;
   }
@@ -305,7 +309,7 @@
 
   function notifyStalled(
     group: PipelineGroup,
-    findStall: (answer: FollowedAnswer) => Stall | null,
+    findStall: (answer: TrackedAnswer) => Stall | null,
   ): void {
     for (const { answer } of [...group.members]) {
       const stall = findStall(answer);
@@ -352,7 +356,10 @@
   };
 }
 
-/** Records a gap between events; that of a stall is capped. */
+/**
+ * Records a gap between events. It is capped, so that the longest gap decays
+ * soon after a stall.
+ */
 function recordGap(group: PipelineGroup, gapMs: number): void {
   const maxGapMs = MAX_PIPELINE_SILENCE_MS / SILENCE_GAP_FACTOR;
   const decayedMs = group.longestGapMs * GAP_DECAY_PER_EVENT;
--- a/packages/gateway/src/streams/stall_detector_test.ts
+++ b/packages/gateway/src/streams/stall_detector_test.ts
@@ -4,7 +4,7 @@
 import type { EngineCalls } from "../protocol.ts";
 import type { ChosenPipeline } from "./pipeline_router.ts";
 import {
-  type AnswerFollower,
+  type AnswerTracker,
   createStallDetector,
   type Stall,
 } from "./stall_detector.ts";
@@ -18,7 +18,7 @@
 });
 
 const STAGES = ["first", "second", "third"];
-const EVENT_EVERY_MS = 40;
+const EVENT_INTERVAL_MS = 40;
 
 function setUp() {
   const deadEngines = new Set<string>();
@@ -53,13 +53,13 @@
     first: { id: "first" },
   } as unknown as ChosenPipeline;
   const stalls: [string, Stall][] = [];
-  const followers: AnswerFollower[] = [];
+  const trackers: AnswerTracker[] = [];
 
-  /** Follows answers that each have an event every 40 ms, spread evenly. */
+  /** Tracks answers that each have an event every 40 ms, spread evenly. */
   async function stream(answers: number, forMs: number): Promise<void> {
-    while (followers.length < answers) {
-      const requestId = `r${followers.length}`;
-      followers.push(
+    while (trackers.length < answers) {
+      const requestId = `r${trackers.length}`;
+      trackers.push(
         detector.follow({
           requestId,
           pipeline: () => pipeline,
@@ -67,9 +67,9 @@
         }),
       );
     }
-    const stepMs = EVENT_EVERY_MS / answers;
+    const stepMs = EVENT_INTERVAL_MS / answers;
     for (let step = 0; step < forMs / stepMs; step += 1) {
-      followers[step % answers]?.onEvent();
+      trackers[step % answers]?.onEvent();
       await vi.advanceTimersByTimeAsync(stepMs);
     }
   }
@@ -79,7 +79,7 @@
     probedEngines,
     suspectedEngines,
     stalls,
-    followers,
+    trackers,
     stream,
     stallOf(requestId: string, address: string) {
       stalled = [{ requestId, address }];
@@ -89,7 +89,7 @@
     },
     silence: (ms: number) => vi.advanceTimersByTimeAsync(ms),
     end() {
-      for (const follower of followers) follower.end();
+      for (const tracker of trackers) tracker.end();
     },
   };
 }
@@ -126,11 +126,11 @@
 
   // Guards against probing engines all the time once they become slow.
   it("backs off while engines are only slow", async () => {
-    const { probedEngines, stalls, followers, stream, silence, end } = setUp();
+    const { probedEngines, stalls, trackers, stream, silence, end } = setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 40; pause += 1) {
       await silence(500);
-      for (const follower of followers) follower.onEvent();
+      for (const tracker of trackers) tracker.onEvent();
     }
     expect(stalls).toEqual([]);
     expect(probedEngines.length).toBeLessThan(100);
@@ -138,12 +138,12 @@
   });
 
   it("resets the backoff after a period of regular events", async () => {
-    const { deadEngines, suspectedEngines, followers, stream, silence, end } =
+    const { deadEngines, suspectedEngines, trackers, stream, silence, end } =
       setUp();
     await stream(10, 1_000);
     for (let pause = 0; pause < 10; pause += 1) {
       await silence(500);
-      for (const follower of followers) follower.onEvent();
+      for (const tracker of trackers) tracker.onEvent();
     }
     await stream(10, 3_000);
     deadEngines.add("second");
@@ -194,12 +194,12 @@
 
 describe("stall detection of a single answer", () => {
   it("finds the stage by the report of the first engine", async () => {
-    const { stallOf, stalls, followers, silence, stream, end } = setUp();
+    const { stallOf, stalls, trackers, silence, stream, end } = setUp();
     await stream(3, 1_000);
     stallOf("r0", "third:1");
     for (let step = 0; step < 30; step += 1) {
-      followers[1]?.onEvent();
-      followers[2]?.onEvent();
+      trackers[1]?.onEvent();
+      trackers[2]?.onEvent();
       await silence(20);
     }
     expect(stalls[0]).toEqual(["r0", { kind: "stage", address: "third:1" }]);
@@ -208,21 +208,14 @@
   });
 
   it("ignores one report that arrives late", async () => {
-    const {
-      slowReports,
-      deadEngines,
-      stalls,
-      followers,
-      silence,
-      stream,
-      end,
-    } = setUp();
+    const { slowReports, deadEngines, stalls, trackers, silence, stream, end } =
+      setUp();
     await stream(3, 1_000);
     slowReports(1);
     deadEngines.add("first");
     for (let step = 0; step < 30; step += 1) {
-      followers[1]?.onEvent();
-      followers[2]?.onEvent();
+      trackers[1]?.onEvent();
+      trackers[2]?.onEvent();
       await silence(20);
     }
     expect(stalls).toEqual([]);
--- a/packages/gateway/src/streams/stream_run.ts
+++ b/packages/gateway/src/streams/stream_run.ts
@@ -22,7 +22,7 @@
   type StageRecovery,
   type StreamRun,
 } from "./stage_recovery.ts";
-import type { AnswerFollower, StallDetector } from "./stall_detector.ts";
+import type { AnswerTracker, StallDetector } from "./stall_detector.ts";
 
 export interface StreamParts extends ForwardingParts {
   readonly router: PipelineRouter;
@@ -43,7 +43,7 @@
 
 export type RunEnd =
   | { readonly kind: "complete"; readonly status: number }
-  /** An error response of the server, kept until no other run follows. */
+  /** An error response of the server, for the caller if no other run follows. */
   | {
       readonly kind: "failed";
       readonly answer: OpenAnswer;
@@ -75,9 +75,9 @@
   });
   const recovery = createStageRecovery(call, run, {
     parts,
-    onPipelineChanged: () => follower.onPipelineChanged(),
+    onPipelineChanged: () => tracker.onPipelineChanged(),
   });
-  const follower = parts.stallDetector.follow({
+  const tracker = parts.stallDetector.follow({
     requestId: call.id,
     pipeline: () => run.pipeline,
     onStall: recovery.onStall,
@@ -106,7 +106,7 @@
       run,
       progress,
       codec,
-      follower,
+      follower: tracker,
       recovery,
     });
   } catch (error) {
@@ -116,7 +116,7 @@
     );
   } finally {
     recovery.end();
-    follower.end();
+    tracker.end();
     run.pipeline.release();
   }
 }
@@ -181,7 +181,7 @@
     readonly run: StreamRun;
     readonly progress: StreamProgress;
     readonly codec: RequestCodec;
-    readonly follower: AnswerFollower;
+    readonly follower: AnswerTracker;
     readonly recovery: StageRecovery;
   },
 ): Promise<RunEnd> {
--- a/packages/gateway/src/streams/usage_exchange.ts
+++ b/packages/gateway/src/streams/usage_exchange.ts
@@ -70,7 +70,10 @@
     bytesPerSecond: MAX_BYTES_PER_SECOND,
     burstBytes: MAX_BURST_BYTES,
   });
-  /** Not pruned: the addresses of a deployment's instances are few. */
+  /**
+   * Time of the last report to each address. Not pruned, since the instances of
+   * a deployment have few addresses.
+   */
   const sentAtByAddress = new Map<string, number>();
   let loadsAtLastChange: LoadByEngine = new Map();
   let lastChangeAt = -Infinity;
@@ -115,8 +118,8 @@
   }
 
   /**
-   * Peers that lack a report of the last change or of the last interval, the
-   * one with the oldest report first.
+   * Peers that have received no report since the last significant change, or
+   * for the maximum interval; the one with the oldest report comes first.
    */
   function findDuePeers() {
     const now = performance.now();
--- a/packages/gateway/src/streams/usage_exchange_test.ts
+++ b/packages/gateway/src/streams/usage_exchange_test.ts
@@ -3,7 +3,7 @@
 import { createEngineUsage, type EngineUsage } from "./engine_usage.ts";
 import { startUsageExchange } from "./usage_exchange.ts";
 
-const END = new AbortController();
+const abortController = new AbortController();
 
 beforeEach(() => {
   vi.useFakeTimers();
@@ -48,15 +48,15 @@
         hosts
           .filter((host) => host !== instance)
           .map((host) => ({ host, port: 1 })),
-      signal: END.signal,
+      signal: abortController.signal,
     });
     return usage;
   });
   return { network, usages };
 }
 
-/** Counts an answer with `tokens` tokens at engines of one layer each. */
-function takeAt(
+/** Reserves `tokens` tokens for an answer at engines of one layer each. */
+function reserveAt(
   usage: EngineUsage | undefined,
   engineIds: readonly string[],
   tokens: number,
@@ -82,8 +82,8 @@
   it("reports a burst to all peers within 50 ms", async () => {
     const { usages } = start(["a", "b", "c"]);
     await vi.advanceTimersByTimeAsync(1_500);
-    takeAt(usages[0], ["e-1"], 1_000);
-    takeAt(usages[1], ["e-1"], 100);
+    reserveAt(usages[0], ["e-1"], 1_000);
+    reserveAt(usages[1], ["e-1"], 100);
     await vi.advanceTimersByTimeAsync(50);
     const held = usages.map((usage) => usage.peerLoadOf("e-1").held);
     expect(held).toEqual([100, 1_000, 1_100]);
@@ -91,9 +91,9 @@
 
   it("reports small changes within about one second", async () => {
     const { usages } = start(["a", "b"]);
-    takeAt(usages[0], ["e-1"], 1_000);
+    reserveAt(usages[0], ["e-1"], 1_000);
     await vi.advanceTimersByTimeAsync(100);
-    takeAt(usages[0], ["e-1"], 10);
+    reserveAt(usages[0], ["e-1"], 10);
     await vi.advanceTimersByTimeAsync(1_050);
     expect(usages[1]?.peerLoadOf("e-1")).toEqual({ held: 1_010, unread: 2 });
   });
@@ -103,7 +103,7 @@
     const { network, usages } = start(hosts);
     const engineIds = Array.from({ length: 60 }, (_, at) => `i-engine-${at}`);
     for (let second = 0; second < 60; second += 1) {
-      takeAt(usages[0], engineIds, 1_000 * (second + 1));
+      reserveAt(usages[0], engineIds, 1_000 * (second + 1));
       await vi.advanceTimersByTimeAsync(1_000);
     }
     const perSecond = (network.sentBytes.get("i-0") ?? 0) / 60;
@@ -115,10 +115,10 @@
     const hosts = Array.from({ length: 40 }, (_, index) => `i-${index}`);
     const { usages } = start(hosts);
     const engineIds = Array.from({ length: 60 }, (_, at) => `i-engine-${at}`);
-    for (const usage of usages) takeAt(usage, engineIds, 1_000);
+    for (const usage of usages) reserveAt(usage, engineIds, 1_000);
     await vi.advanceTimersByTimeAsync(5_000);
     const timers = vi.spyOn(globalThis, "setTimeout");
-    for (const usage of usages) takeAt(usage, engineIds, 100_000);
+    for (const usage of usages) reserveAt(usage, engineIds, 100_000);
     await vi.advanceTimersByTimeAsync(10_000);
     const perSecond = timers.mock.calls.length / 10 / hosts.length;
     timers.mockRestore();
