--- a/packages/gateway/src/following/change_relay.ts
+++ b/packages/gateway/src/following/change_relay.ts
@@ -63,7 +63,7 @@
     return request.positions.flatMap(({ prefix, position }) => {
       const mirror = mirrors().find((mirror) => mirror.prefix === prefix);
       if (!mirror) return [];
-      const changes = mirror.log.after(position);
+      const changes = mirror.changeLog.after(position);
       const isUnchanged =
         changes.position.epoch === position?.epoch &&
         changes.position.sequence === position.sequence;
@@ -81,7 +81,9 @@
    */
   async function waitForChange(withinMs: number): Promise<void> {
     const alarm = createAlarm();
-    const unsubscribers = mirrors().map(({ log }) => log.onChange(alarm.ring));
+    const unsubscribers = mirrors().map(({ changeLog }) =>
+      changeLog.onChange(alarm.ring),
+    );
     await alarm.wait(withinMs, signal);
     for (const unsubscribe of unsubscribers) unsubscribe();
   }
--- a/packages/gateway/src/following/change_relay_test.ts
+++ b/packages/gateway/src/following/change_relay_test.ts
@@ -169,7 +169,7 @@
     };
     const mirror = {
       prefix: PREFIX,
-      log: countingLog,
+      changeLog: countingLog,
       ageMs: () => 0,
       unavailableMs: () => 0,
     } as unknown as ObjectMirror;
--- a/packages/gateway/src/following/object_mirror.ts
+++ b/packages/gateway/src/following/object_mirror.ts
@@ -61,7 +61,7 @@
 export interface ObjectMirror {
   readonly prefix: string;
   /** Recent changes, for instances that follow this one. */
-  readonly log: ChangeLog;
+  readonly changeLog: ChangeLog;
   /** Store revision that the mirror reflects. */
   revision(): number;
   objects(): readonly StoredObject[];
@@ -210,7 +210,7 @@
 
   return {
     prefix,
-    log: changeLog,
+    changeLog,
     revision: () => currentRevision,
     objects: () => [...objectsByKey.values()],
     applyPeerSnapshot({ revision, objects }) {
--- a/packages/gateway/src/following/relay_follower.ts
+++ b/packages/gateway/src/following/relay_follower.ts
@@ -84,7 +84,7 @@
     while (!signal.aborted && isCandidate(relay)) {
       const response = await requestChanges(relay, positions);
       if (typeof response === "string") return response;
-      if (response.ageMs > MAX_STALENESS_MS) return "store_not_heard_of";
+      if (response.ageMs > MAX_STALENESS_MS) return "stale_copy";
       for (const changes of response.changes) {
         positions.set(changes.prefix, changes.position);
         mirrors()
@@ -99,7 +99,7 @@
       isFollowing = true;
       failures = 0;
     }
-    return "no_relay_any_more";
+    return "no_longer_a_relay";
   }
 
   function isCandidate(relay: Address): boolean {
--- a/packages/gateway/src/streams/stall_detector.ts
+++ b/packages/gateway/src/streams/stall_detector.ts
@@ -83,7 +83,7 @@
 }
 
 export interface StallDetector {
-  follow(answer: TrackedAnswer): AnswerTracker;
+  track(answer: TrackedAnswer): AnswerTracker;
 }
 
 interface AnswerState {
@@ -334,7 +334,7 @@
   }
 
   return {
-    follow(answer) {
+    track(answer) {
       const answerState: AnswerState = {
         answer,
         group: groupOf(answer.pipeline()),
--- a/packages/gateway/src/streams/stall_detector_test.ts
+++ b/packages/gateway/src/streams/stall_detector_test.ts
@@ -60,7 +60,7 @@
     while (trackers.length < answers) {
       const requestId = `r${trackers.length}`;
       trackers.push(
-        detector.follow({
+        detector.track({
           requestId,
           pipeline: () => pipeline,
           onStall: (stall) => stalls.push([requestId, stall]),
--- a/packages/gateway/src/streams/stream_run.ts
+++ b/packages/gateway/src/streams/stream_run.ts
@@ -77,7 +77,7 @@
     parts,
     onPipelineChanged: () => tracker.onPipelineChanged(),
   });
-  const tracker = parts.stallDetector.follow({
+  const tracker = parts.stallDetector.track({
     requestId: call.id,
     pipeline: () => run.pipeline,
     onStall: recovery.onStall,
@@ -106,7 +106,7 @@
       run,
       progress,
       codec,
-      follower: tracker,
+      tracker,
       recovery,
     });
   } catch (error) {
@@ -181,11 +181,11 @@
     readonly run: StreamRun;
     readonly progress: StreamProgress;
     readonly codec: RequestCodec;
-    readonly follower: AnswerTracker;
+    readonly tracker: AnswerTracker;
     readonly recovery: StageRecovery;
   },
 ): Promise<RunEnd> {
-  const { run, progress, codec, follower, recovery } = options;
+  const { run, progress, codec, tracker, recovery } = options;
   const { response } = call;
   const splitter = createEventSplitter();
   if (!progress.hasBegun) {
@@ -195,7 +195,7 @@
   }
   for await (const chunk of answer.body) {
     run.pipeline.markPromptRead();
-    follower.onEvent();
+    tracker.onEvent();
     recovery.onEvent();
     for (const event of splitter.push(chunk)) {
       if (event.id !== null && isRepeated(event.id, progress.lastEventId)) {
