--- a/packages/placement/src/control_lease.ts
+++ b/packages/placement/src/control_lease.ts
@@ -1,4 +1,4 @@
-/** The right to order the engines of one failure domain. */
+/** Lease on the right to order the engines of one failure domain. */
 
 import {
   elapsedMs,
@@ -14,22 +14,22 @@
 import type { ObjectStore, StoredObject } from "@rosemarypin/store";
 import { createLogger } from "@rosemarypin/telemetry";
 
-/** How long a lease lasts, and how often it is renewed or looked at. */
+/** Duration of a lease, and the interval at which it is renewed or polled. */
 export interface LeaseTimes {
   readonly durationMs: number;
   readonly stepEveryMs: number;
 }
 
-const USUAL_TIMES: LeaseTimes = { durationMs: 6_000, stepEveryMs: 2_000 };
-/** How often one that is no candidate looks whether it has become one. */
-const CANDIDACY_EVERY_MS = 500;
+const DEFAULT_TIMES: LeaseTimes = { durationMs: 6_000, stepEveryMs: 2_000 };
+/** Interval at which an instance that is no candidate checks again. */
+const CANDIDACY_CHECK_MS = 500;
 /**
- * The holder stops this long before the lease ends: an order in flight takes
- * up to a second, and clocks may run up to one in a hundred apart.
+ * The holder stops ordering this long before its lease ends: an order in
+ * flight takes up to 1 s, and clock rates may differ by up to 1 %.
  */
 const SAFETY_MARGIN_MS = 1_500;
-/** Of what a conflict leaves: a lost reply shows as one. */
-const TRIES_PER_STEP = 2;
+/** A lost reply or a conflict is resolved by reading the lease once more. */
+const MAX_ATTEMPTS_PER_STEP = 2;
 
 const log = createLogger("lease");
 
@@ -39,73 +39,76 @@
   readonly holder: string;
   readonly incarnation: number;
   readonly store: ObjectStore;
-  /** Whether this instance is to try; others leave the object alone. */
+  /** Whether this instance competes for the lease; by default always. */
   readonly isCandidate?: () => boolean;
   readonly times?: LeaseTimes;
-  /** Called when the lease was acquired. */
+  /** Called after the lease was acquired. */
   readonly onHeld?: () => void;
 }
 
-/** A lease that surely holds now. */
+/** A lease that is certain to be valid now. */
 export interface HeldLease {
   readonly fencingNumber: number;
-  /** When the write that acquired the lease was answered. */
+  /** When the store confirmed the write that acquired the lease. */
   readonly since: Moment;
 }
 
-/** A lease that is kept for as long as the process can. */
+/** Competes for a lease, and renews it once acquired. */
 export interface ControlLease {
-  /** The lease while it surely holds, else `null`. */
+  /** The lease if it is certain to be valid now, else `null`. */
   held(): HeldLease | null;
-  /** Gives the lease back; no order may be in flight any more. */
+  /**
+   * Releases the lease and stops competing for it. Orders in flight must have
+   * ended before, as the next holder orders without waiting.
+   */
   release(): Promise<void>;
 }
 
-interface Holding extends HeldLease {
-  /** When the write that renewed it was sent. */
+interface HeldLeaseState extends HeldLease {
+  /** When the write that acquired or last renewed it was sent. */
   readonly renewedAt: Moment;
   readonly version: number;
   readonly lease: LeaseObject;
 }
 
-/** Starts to acquire and then to renew the lease. */
+/** Starts to acquire the lease, and to renew it once acquired. */
 export function createControlLease(options: ControlLeaseOptions): ControlLease {
   const { store, failureDomain } = options;
   const key = storedKeys.lease(options.deployment, failureDomain);
   const isCandidate = options.isCandidate ?? (() => true);
-  const times = options.times ?? USUAL_TIMES;
-  let holding: Holding | null = null;
-  /** What was last read of another holder, and since when it stands still. */
-  let seen: { version: number; at: Moment } | null = null;
+  const times = options.times ?? DEFAULT_TIMES;
+  let heldLease: HeldLeaseState | null = null;
+  /** Version last read of another holder's lease, and when first read. */
+  let observed: { version: number; at: Moment } | null = null;
   let stopped = false;
-  let stepping: Promise<void> = Promise.resolve();
+  let currentStep: Promise<void> = Promise.resolve();
   let timer: NodeJS.Timeout | undefined;
-  void repeat();
+  void runLoop();
 
-  async function repeat(): Promise<void> {
-    stepping = step();
-    await stepping;
+  async function runLoop(): Promise<void> {
+    currentStep = step();
+    await currentStep;
     if (stopped) return;
-    const takesPart = holding !== null || isCandidate();
-    const waitMs = takesPart ? times.stepEveryMs : CANDIDACY_EVERY_MS;
-    timer = setTimeout(() => void repeat(), waitMs);
+    const isCompeting = heldLease !== null || isCandidate();
+    const waitMs = isCompeting ? times.stepEveryMs : CANDIDACY_CHECK_MS;
+    timer = setTimeout(() => void runLoop(), waitMs);
   }
 
   async function step(): Promise<void> {
-    if (holding) {
-      if (!isCandidate()) return giveBack();
-      if (await renew(holding)) return;
+    if (heldLease) {
+      if (!isCandidate()) return releaseHeld();
+      if (await renew(heldLease)) return;
     } else if (!isCandidate()) {
-      seen = null;
+      observed = null;
       return;
     }
-    for (let attempt = 0; attempt < TRIES_PER_STEP; attempt += 1) {
-      if (stopped || (await readAndTake())) return;
+    for (let attempt = 0; attempt < MAX_ATTEMPTS_PER_STEP; attempt += 1) {
+      if (stopped || (await tryAcquire())) return;
     }
   }
 
-  /** Writes without reading first; the version shows if another took it. */
-  async function renew(current: Holding): Promise<boolean> {
+  /** Renews without a read; a changed version makes the write conflict. */
+  async function renew(current: HeldLeaseState): Promise<boolean> {
     const lease = {
       ...current.lease,
       renewal: current.lease.renewal + 1,
@@ -113,25 +116,28 @@
     return write(lease, { version: current.version, since: current.since });
   }
 
-  /** Reads the lease and takes it if it may; resolves to whether to stop. */
-  async function readAndTake(): Promise<boolean> {
-    const read = await store.read(key);
-    if (read.kind !== "ok") return true;
-    const lease = parseLease(read.value);
+  /**
+   * Reads the lease and acquires it if it is free. Resolves to `false` after
+   * a conflict or a lost reply, when another attempt can succeed at once.
+   */
+  async function tryAcquire(): Promise<boolean> {
+    const result = await store.read(key);
+    if (result.kind !== "ok") return true;
+    const lease = parseLease(result.value);
     if (lease === "unreadable") return true;
-    const version = read.value?.version ?? null;
+    const version = result.value?.version ?? null;
     if (lease === null) return acquire(1, version);
-    // A reply to an earlier write was lost: the lease is ours all the same.
-    if (isOwn(lease) && !lease.released) return renewFound(lease, version);
-    const isFree = lease.released || isEarlierLife(lease);
+    // The reply to an earlier write was lost, but this instance has the lease.
+    if (isOwn(lease) && !lease.released) return renewOwn(lease, version);
+    const isFree = lease.released || isEarlierIncarnation(lease);
     if (isFree) return acquire(lease.fencingNumber + 1, version);
-    if (seen === null || seen.version !== version) {
-      seen = { version: version ?? 0, at: readMoment() };
+    if (observed === null || observed.version !== version) {
+      observed = { version: version ?? 0, at: readMoment() };
       return true;
     }
-    // The holder's clock is not ours: only a lease that has not moved for its
-    // whole duration, by our clock, has lapsed.
-    if (surelyElapsedMs(seen.at) < lease.durationMs) return true;
+    // Clocks of instances are not compared: a lease has lapsed when its version
+    // has not changed for its whole duration by the local clock.
+    if (surelyElapsedMs(observed.at) < lease.durationMs) return true;
     return acquire(lease.fencingNumber + 1, version);
   }
 
@@ -141,20 +147,20 @@
   }
 
   /**
-   * An instance that was killed and started again finds its own lease. The
-   * process that held it has ended, so there is nobody to wait for; waiting
-   * for the lease to lapse left lost layers unplaced for six seconds.
+   * Whether a previous process of this instance holds the lease. After a
+   * restart that process cannot order any more, so the lease is acquired at
+   * once; until it lapsed, lost layers would stay unplaced for 6 s.
    */
-  function isEarlierLife(lease: LeaseObject): boolean {
+  function isEarlierIncarnation(lease: LeaseObject): boolean {
     const { holder, incarnation } = options;
     return lease.holder === holder && lease.incarnation < incarnation;
   }
 
-  function renewFound(
+  function renewOwn(
     lease: LeaseObject,
     version: number | null,
   ): Promise<boolean> {
-    const since = holding?.since ?? readMoment();
+    const since = heldLease?.since ?? readMoment();
     const renewed = { ...lease, renewal: lease.renewal + 1 };
     return write(renewed, { version, since });
   }
@@ -184,19 +190,19 @@
       expectedVersion: base.version,
     });
     if (written.kind !== "ok") {
-      // The lease stays ours until it lapses by our own clock, whoever may
-      // have taken it meanwhile had to wait for that.
+      // The lease stays valid until it lapses by the local clock: another
+      // instance can acquire it only after its duration.
       log.detail("lease_write", { domain: failureDomain, kind: written.kind });
       return written.kind !== "conflict" && written.kind !== "reply_lost";
     }
     if (stopped) return true;
-    const isNew = holding?.fencingNumber !== lease.fencingNumber;
+    const isNewlyAcquired = heldLease?.fencingNumber !== lease.fencingNumber;
     const { fencingNumber } = lease;
     const since = base.since ?? readMoment();
     const version = written.value;
-    // Counted from before the write: others count from after it.
-    holding = { fencingNumber, since, renewedAt, version, lease };
-    if (isNew) {
+    // Timed from before the write; other instances time it from their read.
+    heldLease = { fencingNumber, since, renewedAt, version, lease };
+    if (isNewlyAcquired) {
       log.info("lease_held", {
         domain: failureDomain,
         fencing_number: fencingNumber,
@@ -206,31 +212,31 @@
     return true;
   }
 
-  async function giveBack(): Promise<void> {
-    if (!holding) return;
-    const { lease, version } = holding;
-    holding = null;
+  async function releaseHeld(): Promise<void> {
+    if (!heldLease) return;
+    const { lease, version } = heldLease;
+    heldLease = null;
     const released = { ...lease, released: true };
     await store.write(key, released, { expectedVersion: version });
     log.info("lease_released", { domain: failureDomain });
   }
 
   return {
-    // The clock is read on each use, so a holder that was frozen past the end
-    // of its lease finds out before it orders anything.
+    // Reads the clock on each call, so that a process that was paused past the
+    // end of its lease sends no order.
     held() {
-      if (!holding || stopped) return null;
+      if (!heldLease || stopped) return null;
       const leftMs =
-        holding.lease.durationMs -
+        heldLease.lease.durationMs -
         SAFETY_MARGIN_MS -
-        elapsedMs(holding.renewedAt);
-      return leftMs > 0 ? holding : null;
+        elapsedMs(heldLease.renewedAt);
+      return leftMs > 0 ? heldLease : null;
     },
     async release() {
       stopped = true;
       clearTimeout(timer);
-      await stepping;
-      await giveBack();
+      await currentStep;
+      await releaseHeld();
     },
   };
 }
@@ -241,7 +247,7 @@
   if (object === null) return null;
   const parsed = leaseObjectSchema.safeParse(object.value);
   if (parsed.success) return parsed.data;
-  // Starting again at 1 would make engines that check refuse every order.
+  // Restarting at 1 would make engines that check fencing refuse every order.
   log.warn("bad_lease", { key: object.key, reason: parsed.error.message });
   return "unreadable";
 }
--- a/packages/placement/src/control_lease_test.ts
+++ b/packages/placement/src/control_lease_test.ts
@@ -6,7 +6,7 @@
 
 const key = storedKeys.lease("test", "a");
 
-function createHolders() {
+function createCompetitors() {
   const memory = createMemoryStore();
   const start = (holder: string) => {
     const { store, faults } = memory.client();
@@ -22,11 +22,11 @@
 afterEach(() => void vi.useRealTimers());
 
 describe("the control lease", () => {
-  it("is not used by a holder that was frozen past its end", async () => {
-    // The holder is stopped for ten seconds; another takes over and orders.
-    // Thawed, the old holder runs an order before any timer of its own, and
-    // brings a withdrawn version back on an engine that ignores the number.
-    const { start } = createHolders();
+  it("is not used by a process that was paused past its end", async () => {
+    // The holder's process is paused for 10 s and another instance takes over.
+    // On resuming, the old holder sends an order before its timers run, which
+    // restores a withdrawn version on an engine that ignores fencing numbers.
+    const { start } = createCompetitors();
     const { lease } = start("one");
     await vi.advanceTimersByTimeAsync(10);
     expect(lease.held()).not.toBeNull();
@@ -34,31 +34,31 @@
     expect(lease.held()).toBeNull();
   });
 
-  it("is never held by two at once", async () => {
-    // The holder loses the store; another waits until the lease has lapsed.
-    // If it counted from the wrong moment, both would order for a while.
-    const { start } = createHolders();
-    const one = start("one");
+  it("is never held by two instances at once", async () => {
+    // The holder loses its connection to the store, and another instance waits
+    // for the lease to lapse. Timed from the wrong moment, both would order.
+    const { start } = createCompetitors();
+    const first = start("one");
     await vi.advanceTimersByTimeAsync(10);
-    const two = start("two");
+    const second = start("two");
     await vi.advanceTimersByTimeAsync(3_000);
-    one.faults.down = true;
+    first.faults.down = true;
     let holders: (string | undefined)[] = [];
     for (let step = 0; step < 300; step += 1) {
       await vi.advanceTimersByTimeAsync(50);
-      const held = [one.lease.held() && "one", two.lease.held() && "two"];
+      const held = [first.lease.held() && "one", second.lease.held() && "two"];
       holders = held.flatMap((name) => name ?? []);
       expect(holders.length).toBeLessThan(2);
     }
     expect(holders).toEqual(["two"]);
-    expect(two.lease.held()?.fencingNumber).toBe(2);
+    expect(second.lease.held()?.fencingNumber).toBe(2);
   });
 
-  it("is kept through lost replies", async () => {
-    // Renewals take effect and their replies are lost. The version that the
-    // holder knows is then old, and taking the conflict for a loss would leave
-    // the domain without orders until the lease lapses.
-    const { start } = createHolders();
+  it("survives lost replies to renewals", async () => {
+    // Renewals take effect but their replies are lost, so the holder's next
+    // write conflicts with its own. Treated as the loss of the lease, that
+    // would leave the domain without orders until the lease lapses.
+    const { start } = createCompetitors();
     const { lease, faults } = start("one");
     await vi.advanceTimersByTimeAsync(10);
     for (let step = 0; step < 10; step += 1) {
@@ -68,16 +68,16 @@
     }
   });
 
-  it("is known to be acquired after a lost reply", async () => {
-    const { start } = createHolders();
+  it("is acquired although the reply to the write was lost", async () => {
+    const { start } = createCompetitors();
     const { lease, faults } = start("one");
     faults.loseReplies = 1;
     await vi.advanceTimersByTimeAsync(2_500);
     expect(lease.held()?.fencingNumber).toBe(1);
   });
 
-  it("lapses in an outage of the store, and nobody takes it", async () => {
-    const { start } = createHolders();
+  it("lapses in a store outage and is acquired only after it", async () => {
+    const { start } = createCompetitors();
     const holders = [start("one"), start("two")];
     await vi.advanceTimersByTimeAsync(10);
     for (const { faults } of holders) faults.down = true;
@@ -89,33 +89,33 @@
     expect(held).toHaveLength(1);
   });
 
-  it("goes to the next at once when it is given back", async () => {
-    const { start } = createHolders();
-    const one = start("one");
+  it("passes to the next candidate at once when released", async () => {
+    const { start } = createCompetitors();
+    const first = start("one");
     await vi.advanceTimersByTimeAsync(10);
-    const two = start("two");
-    await one.lease.release();
+    const second = start("two");
+    await first.lease.release();
     await vi.advanceTimersByTimeAsync(2_000);
-    expect(two.lease.held()?.fencingNumber).toBe(2);
+    expect(second.lease.held()?.fencingNumber).toBe(2);
   });
 
-  it("does not start again at 1 when it cannot be read", async () => {
-    // A later release wrote the lease in another form. Engines that check
-    // have seen high numbers; a lease that begins again is refused by all.
-    const { start, stored } = createHolders();
-    const one = start("one");
+  it("does not restart fencing numbers at 1 when it cannot be parsed", async () => {
+    // A later release wrote the lease in another format. Engines that check
+    // fencing numbers would refuse all orders if numbering restarted at 1.
+    const { start, stored } = createCompetitors();
+    const first = start("one");
     await vi.advanceTimersByTimeAsync(10);
-    await one.lease.release();
+    await first.lease.release();
     const expectedVersion = stored()?.version ?? null;
-    await one.store.write(key, { form: 2 }, { expectedVersion });
-    const two = start("two");
+    await first.store.write(key, { form: 2 }, { expectedVersion });
+    const second = start("two");
     await vi.advanceTimersByTimeAsync(20_000);
-    expect(two.lease.held()).toBeNull();
+    expect(second.lease.held()).toBeNull();
     expect(stored()?.value).toEqual({ form: 2 });
   });
 });
 
-describe("candidates for a lease", () => {
+describe("lease candidates", () => {
   const member = (id: string, failureDomain: string, isAlive = true) => ({
     id,
     failureDomain,
@@ -129,7 +129,7 @@
       .map(({ id }) => id)
       .filter((id) => isLeaseCandidate(members, { id, failureDomain }));
 
-  it("are a few of many, and others where a domain has none", () => {
+  it("are limited in number, and foreign if a domain has none", () => {
     const many = ["1", "2", "3", "4", "5"].map((id) => member(id, "a"));
     const dead = member("0", "a", false);
     expect(candidates([dead, ...many], "a")).toEqual(["1", "2", "3"]);
--- a/packages/placement/src/engine_controller.ts
+++ b/packages/placement/src/engine_controller.ts
@@ -1,4 +1,4 @@
-/** Orders the engines of one failure domain until they hold what they must. */
+/** Brings the engines of one failure domain to their wanted state. */
 import {
   type EngineClient,
   type EngineFleet,
@@ -16,16 +16,16 @@
 import { orderFencingNumber } from "./fencing_number.ts";
 import { holdsExactly, keepsToNote } from "./held_state.ts";
 import type { Placer } from "./placer.ts";
-import { createWakeUp } from "./wake_up.ts";
+import { createWakeSignal } from "./wake_signal.ts";
 import { type WantedState, wantedState } from "./wanted_layers.ts";
 
-/** How soon an engine that holds what it must is read back. */
-const READ_BACK_MS = 500;
-/** With more engines than this, the reads back slow down within a budget. */
-const READ_BACK_ALL_UP_TO = 16;
-const READ_BACK_BYTES_PER_SECOND = 250;
-/** How soon an engine that does not is ordered again; doubled up to above. */
-const FIRST_RETRY_MS = 25;
+/** Interval for reading back an engine in its wanted state. */
+const READ_BACK_INTERVAL_MS = 500;
+/** With more engines, unchanged ones are read back at growing intervals. */
+const MAX_ENGINES_WITHOUT_BACKOFF = 16;
+const READ_BACK_BUDGET_BYTES_PER_SECOND = 250;
+/** Delay of the first retry; doubles up to `READ_BACK_INTERVAL_MS`. */
+const INITIAL_RETRY_MS = 25;
 
 const log = createLogger("placement");
 
@@ -35,77 +35,87 @@
   readonly fleet: EngineFleet;
   readonly keeper: NoteKeeper;
   readonly lease: ControlLease;
-  /** Says what engines without roles are to hold. */
+  /** Decides the layers of engines without roles. */
   readonly placer?: Placer;
 }
 
 export interface EngineController {
-  /** Engines ordered by this instance; empty while it holds no lease. */
+  /**
+   * The note that each engine has confirmed, 0 for none; empty while this
+   * instance may not order.
+   */
   confirmations(): readonly EngineConfirmation[];
-  /** Looks at all engines now. */
+  /** Reconciles all engines without delay. */
   wake(): void;
-  /** Looks at these engines now, because they are said to have changed. */
+  /** Reconciles these engines without delay, as they may have changed. */
   recheck(engines: readonly string[]): void;
-  /** Starts no order any more; resolves once none is in flight. */
+  /** Stops ordering; resolves once no order is in flight. */
   stop(): Promise<void>;
 }
 
-/** How one look at an engine ended. */
-type Look = "idle" | "holds" | "retry";
+/** Result of one pass over an engine; `idle` if it may not be ordered. */
+type ReconcileOutcome = "idle" | "holds" | "retry";
 
-/** Starts one task for each engine, which acts while the lease is held. */
+/** Starts one task per engine, which orders it while the lease is held. */
 export function createEngineController(
   options: EngineControllerOptions,
 ): EngineController {
   const { client, fleet, keeper, lease, placer } = options;
   const confirmed = new Map<string, EngineConfirmation>();
-  const wakeUps = new Map(
-    options.engines.map(({ id }) => [id, createWakeUp()]),
+  const wakeSignals = new Map(
+    options.engines.map(({ id }) => [id, createWakeSignal()]),
   );
-  const stopFollowing = keeper.onChange(wake);
-  const stopPlacing = placer?.onChange(recheck);
-  const longestReadBackMs = longestReadBack(options.engines.length);
+  const unsubscribeNotes = keeper.onChange(wake);
+  const unsubscribePlacer = placer?.onChange(recheck);
+  const maxReadBackMs = maxReadBackIntervalMs(options.engines.length);
   let stopped = false;
-  const tasks = options.engines.map(follow);
+  const tasks = options.engines.map(reconcileLoop);
 
   function wake(): void {
-    for (const wakeUp of wakeUps.values()) wakeUp.wake();
+    for (const wakeSignal of wakeSignals.values()) wakeSignal.wake();
   }
 
   function recheck(engines: readonly string[]): void {
-    for (const id of engines) wakeUps.get(id)?.wake();
+    for (const id of engines) wakeSignals.get(id)?.wake();
   }
 
-  async function follow(engine: EngineSettings): Promise<void> {
-    const wakeUp = wakeUps.get(engine.id) ?? createWakeUp();
-    let retryMs = FIRST_RETRY_MS;
-    let readBackMs = READ_BACK_MS;
+  async function reconcileLoop(engine: EngineSettings): Promise<void> {
+    const wakeSignal = wakeSignals.get(engine.id) ?? createWakeSignal();
+    let retryMs = INITIAL_RETRY_MS;
+    let readBackMs = READ_BACK_INTERVAL_MS;
     while (!stopped) {
-      const seen = wakeUp.count();
-      const before = confirmed.get(engine.id);
-      const look = await bringToNote(engine);
+      const wakesBefore = wakeSignal.count();
+      const previous = confirmed.get(engine.id);
+      const outcome = await reconcile(engine);
       if (stopped) return;
-      retryMs = look === "retry" ? retryMs * 2 : FIRST_RETRY_MS;
-      // An engine that was as it should be is read back ever later. A late
-      // order of an earlier holder may still land on one that ignores fencing
-      // numbers, most likely soon, so each order starts the reads over.
-      const isQuiet = look === "holds" && confirmed.get(engine.id) === before;
-      readBackMs = isQuiet
-        ? Math.min(readBackMs * 2, longestReadBackMs)
-        : READ_BACK_MS;
+      retryMs = outcome === "retry" ? retryMs * 2 : INITIAL_RETRY_MS;
+      // The interval doubles while the engine stays in its wanted state. A
+      // delayed order of an earlier holder may still reach an engine that
+      // ignores fencing numbers, most likely soon after a change, so each
+      // confirmed order resets the interval.
+      const isUnchanged =
+        outcome === "holds" && confirmed.get(engine.id) === previous;
+      readBackMs = isUnchanged
+        ? Math.min(readBackMs * 2, maxReadBackMs)
+        : READ_BACK_INTERVAL_MS;
       const waitMs =
-        look === "retry" ? Math.min(retryMs, READ_BACK_MS) : readBackMs;
-      await wakeUp.wait(waitMs, seen);
+        outcome === "retry"
+          ? Math.min(retryMs, READ_BACK_INTERVAL_MS)
+          : readBackMs;
+      await wakeSignal.wait(waitMs, wakesBefore);
     }
   }
 
-  async function bringToNote(engine: EngineSettings): Promise<Look> {
+  async function reconcile(engine: EngineSettings): Promise<ReconcileOutcome> {
     const record = keeper.applied();
-    if (!record || !mayOrder()) return "idle";
-    const known = confirmed.get(engine.id);
-    // A changed note is ordered at once; reading first would add a round trip
-    // to every recall. What was confirmed before is read back instead.
-    if (known?.confirmed === record.number && !known.stopped) {
+    if (!record || !leaseForOrders()) return "idle";
+    const lastConfirmation = confirmed.get(engine.id);
+    // A new note is ordered without a read, which would add a round trip to
+    // every recall. An engine that confirmed this note is read back.
+    if (
+      lastConfirmation?.confirmed === record.number &&
+      !lastConfirmation.stopped
+    ) {
       const state = await readState(engine);
       const wanted = wantedOf(engine, record);
       if (!wanted) return "retry";
@@ -113,12 +123,12 @@
         fleet.observe(state);
         return "holds";
       }
-      if (state && !mayGrow(engine, { state, record })) {
+      if (state && !isStillConfirmed(engine, { state, record })) {
         confirmed.delete(engine.id);
       }
     }
-    // What a placed engine is to hold depends on what it holds already, and
-    // one that was silent may have been restarted.
+    // The wanted state of an engine without roles depends on what it holds,
+    // and an engine that did not answer may have restarted.
     if (placer?.isUnread(engine.id)) await readState(engine);
     const wanted = wantedOf(engine, record);
     return wanted ? order(engine, { wanted, record }) : "retry";
@@ -141,24 +151,25 @@
   }
 
   /**
-   * A placed engine is asked for more as weights are served, under one note.
-   * What it confirmed still holds meanwhile: it runs nothing but what the
-   * note allows.
+   * Whether a confirmation stays valid for an engine that is not in its wanted
+   * state. An engine without roles gets more layers under the same note as
+   * their weights are loaded; it runs only what the note allows meanwhile.
    */
-  function mayGrow(
+  function isStillConfirmed(
     engine: EngineSettings,
-    seen: { readonly state: EngineState; readonly record: NoteRecord },
+    observation: { readonly state: EngineState; readonly record: NoteRecord },
   ): boolean {
-    const { state, record } = seen;
+    const { state, record } = observation;
     return placer?.places(engine.id) === true && keepsToNote(state, record);
   }
 
   /**
-   * A new holder may be behind on notes, and an order from an old note would
-   * bring back what a newer one withdrew. So nothing is ordered before the
-   * head object was read, here or by a peer, after the lease was acquired.
+   * The lease if orders may be sent, else `null`. A new holder may lack recent
+   * notes, and an order under an old note would restore what a newer one
+   * withdrew. So the head object must have been read, by this instance or a
+   * peer, since the lease was acquired.
    */
-  function mayOrder(): HeldLease | null {
+  function leaseForOrders(): HeldLease | null {
     const held = lease.held();
     const contactAgeMs = keeper.contactAgeMs();
     if (!held || contactAgeMs === null) return null;
@@ -167,10 +178,10 @@
 
   async function order(
     engine: EngineSettings,
-    wish: { readonly wanted: WantedState; readonly record: NoteRecord },
-  ): Promise<Look> {
-    const { wanted, record } = wish;
-    const held = mayOrder();
+    target: { readonly wanted: WantedState; readonly record: NoteRecord },
+  ): Promise<ReconcileOutcome> {
+    const { wanted, record } = target;
+    const held = leaseForOrders();
     if (!held || keeper.applied() !== record) return "retry";
     const fencingNumber = orderFencingNumber({
       leaseNumber: held.fencingNumber,
@@ -182,11 +193,11 @@
     });
     if (result.kind === "ok") {
       placer?.observe(engine.id, result.state, { isOrdered: true });
-      return takeState(result.state, { engine, wanted });
+      return handleOrderedState(result.state, { engine, wanted });
     }
     if (result.kind !== "fenced") placer?.observe(engine.id, null);
     if (result.kind === "not_sent" && result.refused) {
-      confirm(engine, { number: record.number, stopped: true });
+      setConfirmation(engine, { number: record.number, stopped: true });
       return "holds";
     }
     const { kind, detail } = result;
@@ -194,18 +205,18 @@
     return "retry";
   }
 
-  function takeState(
+  function handleOrderedState(
     state: EngineState,
     context: { readonly engine: EngineSettings; readonly wanted: WantedState },
-  ): Look {
+  ): ReconcileOutcome {
     const { engine, wanted } = context;
     fleet.observe(state);
     if (!holdsExactly(state, wanted)) return "retry";
-    confirm(engine, { number: wanted.noteNumber, stopped: false });
+    setConfirmation(engine, { number: wanted.noteNumber, stopped: false });
     return "holds";
   }
 
-  function confirm(
+  function setConfirmation(
     engine: EngineSettings,
     result: { readonly number: number; readonly stopped: boolean },
   ): void {
@@ -219,7 +230,7 @@
 
   return {
     confirmations() {
-      if (!mayOrder()) return [];
+      if (!leaseForOrders()) return [];
       return options.engines.map(
         ({ id }) =>
           confirmed.get(id) ?? { engine: id, confirmed: 0, stopped: false },
@@ -229,17 +240,17 @@
     recheck,
     async stop() {
       stopped = true;
-      stopFollowing();
-      stopPlacing?.();
+      unsubscribeNotes();
+      unsubscribePlacer?.();
       wake();
       await Promise.all(tasks);
     },
   };
 }
 
-/** One engine's turn when all of `engines` are read within the budget. */
-function longestReadBack(engines: number): number {
-  if (engines <= READ_BACK_ALL_UP_TO) return READ_BACK_MS;
-  const bytesPerSecond = READ_BACK_BYTES_PER_SECOND;
+/** Longest interval for reading one of `engines` engines back. */
+function maxReadBackIntervalMs(engines: number): number {
+  if (engines <= MAX_ENGINES_WITHOUT_BACKOFF) return READ_BACK_INTERVAL_MS;
+  const bytesPerSecond = READ_BACK_BUDGET_BYTES_PER_SECOND;
   return readIntervalMs(engines, { bytesPerSecond });
 }
--- a/packages/placement/src/engine_controller_test.ts
+++ b/packages/placement/src/engine_controller_test.ts
@@ -21,7 +21,7 @@
   roles: [{ model: "assist", layers: { from: 0, to: 4 } }],
 };
 
-/** A note under which the versions in `names` answer. */
+/** A note that serves the versions in `names`. */
 function record(number: number, names: readonly string[]): NoteRecord {
   const versions = Object.fromEntries(
     names.map((version) => {
@@ -46,7 +46,7 @@
   };
 }
 
-/** An engine in process; it refuses old numbers only if it `checks`. */
+/** An in-process engine that refuses old fencing numbers if it `checks`. */
 function createEngine(options: { readonly checks: boolean }) {
   let order: EngineOrder = {
     fencingNumber: 0,
@@ -67,7 +67,7 @@
     leaving: false,
     load: 0,
   });
-  function take(next: EngineOrder): OrderResult {
+  function acceptOrder(next: EngineOrder): OrderResult {
     if (options.checks && next.fencingNumber < order.fencingNumber) {
       return { kind: "fenced", detail: "old number" };
     }
@@ -77,15 +77,20 @@
   const client: EngineClient = {
     start: () => Promise.reject(new Error("not used")),
     cancel: () => Promise.resolve(),
-    order: async (_address, next) => take(next),
+    order: async (_address, next) => acceptOrder(next),
     readState: async () => state(),
   };
   const versions = () => state().held.map(({ version }) => version);
   const reads = vi.spyOn(client, "readState");
-  return { client, take, versions, reads: () => reads.mock.calls.length };
+  return {
+    client,
+    take: acceptOrder,
+    versions,
+    reads: () => reads.mock.calls.length,
+  };
 }
 
-/** Controls one engine, or so many that answer as one. */
+/** Controls one engine, or `engines` ids that all reach the same engine. */
 function startController(
   engine: ReturnType<typeof createEngine>,
   options: { readonly engines?: number } = {},
@@ -143,11 +148,11 @@
 beforeEach(() => void vi.useFakeTimers());
 afterEach(() => void vi.useRealTimers());
 
-describe("orders to an engine", () => {
-  it("undo what a thawed holder did to an engine that ignores numbers", async () => {
-    // An old holder is frozen with an order in flight. v1 is recalled and the
-    // new holder clears the engine. The old order then lands, and the engine
-    // holds v1 again, until someone reads back.
+describe("engine orders", () => {
+  it("undo a late order of an old holder if the engine ignores fencing", async () => {
+    // An old holder is paused with an order in flight. v1 is recalled and the
+    // new holder clears the engine. The old order then arrives and restores v1,
+    // which only reading the engine back detects.
     const engine = createEngine({ checks: false });
     const { hold, apply, controller } = startController(engine);
     hold(2);
@@ -160,10 +165,10 @@
     expect(controller.confirmations()).toMatchObject([{ confirmed: 2 }]);
   });
 
-  it("are refused late by an engine that checks, from the same holder too", async () => {
-    // The holder's own order for note 1 is delayed on its way and arrives
-    // after the one for note 2. With the lease's number alone both would be
-    // equal, and the engine would take v1 up again.
+  it("are refused when late, even from the same lease holder", async () => {
+    // The holder's order for note 1 is delayed in the network and arrives after
+    // the one for note 2. If fencing numbers counted leases only, both would be
+    // equal and the engine would hold v1 again.
     const engine = createEngine({ checks: true });
     const { hold, apply } = startController(engine);
     hold(1);
@@ -173,10 +178,10 @@
     expect(engine.versions()).toEqual([]);
   });
 
-  it("wait until a new holder has read the head", async () => {
-    // The old holder cleared v1 under note 2 and died. The next holder was cut
-    // off for a while and still has note 1: its order, with a higher number,
-    // would bring v1 back.
+  it("wait until a new lease holder has read the head object", async () => {
+    // The old holder cleared v1 under note 2 and died. The next holder was
+    // partitioned and still has note 1: its order, with a higher fencing
+    // number, would restore v1.
     const engine = createEngine({ checks: true });
     const { hold, apply, setContactAge, controller } = startController(engine);
     setContactAge(5_000);
@@ -190,13 +195,13 @@
     expect(engine.versions()).toEqual(["v2"]);
   });
 
-  it("take an engine that has died for one that holds nothing", async () => {
-    // A stage dies in the moment of a recall. Nothing listens at its address,
-    // so it answers nothing; waited for, it would keep the note from being in
-    // force until somebody starts it again.
+  it("treat an engine that refuses connections as stopped", async () => {
+    // An engine dies during a recall and its address refuses connections. If
+    // its confirmation were awaited, the note would not be in force until the
+    // engine is restarted.
     const engine = createEngine({ checks: true });
-    const rack = startController(engine);
-    rack.hold(1);
+    const started = startController(engine);
+    started.hold(1);
     await vi.advanceTimersByTimeAsync(1_000);
     vi.spyOn(engine.client, "readState").mockResolvedValue(null);
     vi.spyOn(engine.client, "order").mockResolvedValue({
@@ -204,14 +209,14 @@
       refused: true,
       detail: "connection refused",
     });
-    rack.apply(record(2, []));
+    started.apply(record(2, []));
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(rack.controller.confirmations()).toEqual([
+    expect(started.controller.confirmations()).toEqual([
       { engine: "engine-1", confirmed: 2, stopped: true },
     ]);
   });
 
-  it("stop with the controller, once none is in flight", async () => {
+  it("are no longer sent once the controller has stopped", async () => {
     const engine = createEngine({ checks: true });
     const { hold, apply, controller } = startController(engine);
     hold(1);
@@ -223,8 +228,8 @@
   });
 });
 
-describe("the reads back of a large domain", () => {
-  async function settle() {
+describe("reading back the engines of a large domain", () => {
+  async function startUntilQuiet() {
     const engine = createEngine({ checks: false });
     const started = startController(engine, { engines: 81 });
     started.hold(1);
@@ -232,32 +237,32 @@
     return { engine, ...started };
   }
 
-  it("grow rare while nothing changes", async () => {
-    const { engine, controller } = await settle();
+  it("slows down while nothing changes", async () => {
+    const { engine, controller } = await startUntilQuiet();
     const before = engine.reads();
     await vi.advanceTimersByTimeAsync(60_000);
     expect(engine.reads() - before).toBeLessThan(60 * 2);
     await controller.stop();
   });
 
-  it("do not hold up a recall", async () => {
-    // Nothing has changed for minutes, and a version is recalled. Waiting for
-    // the next read back would keep it on the engines for a minute.
-    const { engine, apply, controller } = await settle();
+  it("does not delay a recall", async () => {
+    // A version is recalled after minutes without a change. Waiting for the
+    // next read would leave it on the engines for a minute.
+    const { engine, apply, controller } = await startUntilQuiet();
     apply(record(2, []));
     await vi.advanceTimersByTimeAsync(100);
     expect(engine.versions()).toEqual([]);
     const confirmed = controller.confirmations();
-    expect(new Set(confirmed.map((one) => one.confirmed))).toEqual(
-      new Set([2]),
-    );
+    expect(
+      new Set(confirmed.map((confirmation) => confirmation.confirmed)),
+    ).toEqual(new Set([2]));
     await controller.stop();
   });
 
-  it("come at once when a watcher says that an engine has changed", async () => {
-    // An engine restarts and holds nothing. Until it is read back and ordered
-    // again, its accelerators stand idle.
-    const { engine, controller } = await settle();
+  it("happens at once when an engine is reported as changed", async () => {
+    // An engine restarts with empty memory. Its accelerators are idle until it
+    // is read back and ordered.
+    const { engine, controller } = await startUntilQuiet();
     engine.take({ ...oldOrder, noteNumber: 0, hold: [] });
     await vi.advanceTimersByTimeAsync(1_000);
     expect(engine.versions()).toEqual([]);
--- a/packages/placement/src/engine_loads.ts
+++ b/packages/placement/src/engine_loads.ts
@@ -1,4 +1,4 @@
-/** Weights that the weight store serves, or has served, to engines. */
+/** Loads of weights from the weight store to the engines of a domain. */
 
 import type { HeldLayers } from "@rosemarypin/schemas";
 import type { WeightLoader } from "@rosemarypin/store";
@@ -7,19 +7,19 @@
 
 export interface EngineLoadsOptions {
   readonly loader: Pick<WeightLoader, "load">;
-  /** Called when weights were served to an engine. */
+  /** Called when a load to an engine has finished. */
   readonly onLoaded: (engine: string) => void;
 }
 
-/** Loads by engine. */
+/** Running and finished loads of each engine. */
 export interface EngineLoads {
-  /** Starts what is missing, and ends loads that are not wanted any more. */
+  /** Starts loads of missing weights, and aborts loads of any others. */
   follow(engine: string, missing: readonly MissingWeights[]): void;
-  /** Whether the store has served the layers, and no order named them yet. */
+  /** Whether the layers are loaded, but the engine does not report them yet. */
   isLoaded(engine: string, wanted: HeldLayers): boolean;
-  /** Forgets what was served to an engine whose memory was emptied. */
+  /** Drops all loads of an engine whose memory was emptied by a restart. */
   forget(engine: string): void;
-  /** Forgets what the engine is seen to hold. */
+  /** Drops finished loads of layers that the engine reports as held. */
   settle(engine: string, held: readonly HeldLayers[]): void;
   stop(): void;
 }
@@ -30,7 +30,7 @@
   isDone: boolean;
 }
 
-/** Creates the loads of a domain's engines. */
+/** Creates a tracker without loads. */
 export function createEngineLoads(options: EngineLoadsOptions): EngineLoads {
   const loads = new Map<string, Load[]>();
 
@@ -38,8 +38,8 @@
     return loads.get(engine) ?? [];
   }
 
-  /** Keeps some loads of an engine and ends the others. */
-  function keep(engine: string, isKept: (load: Load) => boolean): void {
+  /** Keeps the matching loads of an engine and aborts the others. */
+  function retain(engine: string, isKept: (load: Load) => boolean): void {
     const all = loadsOf(engine);
     for (const load of all) if (!isKept(load)) load.stopping.abort();
     loads.set(engine, all.filter(isKept));
@@ -60,29 +60,32 @@
   return {
     follow(engine, missing) {
       const isWanted = ({ wanted }: Load) =>
-        missing.some((one) => isSameRange(one.wanted, wanted));
-      keep(engine, isWanted);
-      for (const one of missing) {
-        const isKnown = loadsOf(engine).some(({ wanted }) =>
-          isSameRange(wanted, one.wanted),
+        missing.some((needed) => isSameRange(needed.wanted, wanted));
+      retain(engine, isWanted);
+      for (const missingWeights of missing) {
+        const isStarted = loadsOf(engine).some(({ wanted }) =>
+          isSameRange(wanted, missingWeights.wanted),
         );
-        if (!isKnown) void start(engine, one);
+        if (!isStarted) void start(engine, missingWeights);
       }
     },
     isLoaded: (engine, wanted) =>
       loadsOf(engine).some(
         (load) => load.isDone && isSameRange(load.wanted, wanted),
       ),
-    forget: (engine) => keep(engine, () => false),
+    forget: (engine) => retain(engine, () => false),
     settle(engine, held) {
-      keep(
+      retain(
         engine,
         (load) =>
-          !(load.isDone && held.some((one) => isSameRange(one, load.wanted))),
+          !(
+            load.isDone &&
+            held.some((layers) => isSameRange(layers, load.wanted))
+          ),
       );
     },
     stop() {
-      for (const engine of loads.keys()) keep(engine, () => false);
+      for (const engine of loads.keys()) retain(engine, () => false);
     },
   };
 }
--- a/packages/placement/src/engine_presence.ts
+++ b/packages/placement/src/engine_presence.ts
@@ -1,43 +1,45 @@
 /**
- * Which engines a plan may count on. Moving weights takes longer than most
- * absences, so an engine that is silent for a moment keeps its place, and one
- * that came back gets a place only when it has stayed.
+ * Decides which engines a plan may use. Moving weights takes longer than most
+ * outages of an engine, so an engine that stops answering briefly keeps its
+ * layers, and one that recovers gets layers only after it has been stable.
  */
 
-/** Silence after which an engine's layers are given to others. */
+/** Time without an answer after which an engine's layers are reassigned. */
 export const LOST_AFTER_MS = 10_000;
-/** How long an engine must answer before it gets layers again. */
+/** Time that a recovered engine must keep answering before it gets layers. */
 export const STABLE_AFTER_MS = 30_000;
-/** Longest such time for an engine that comes and goes. */
-const STABLE_AT_MOST_MS = 600_000;
-/** After so long in place, earlier losses do not count any more. */
-const FORGIVEN_AFTER_MS = 1_800_000;
+/** Limit of that time for an engine that is lost repeatedly. */
+const MAX_STABLE_AFTER_MS = 600_000;
+/** Time in use after which an engine's earlier losses are ignored. */
+const LOSSES_EXPIRE_AFTER_MS = 1_800_000;
 
-/** Engines as far as plans are concerned. */
+/** Availability of engines for planning. */
 export interface EnginePresence {
+  /** Records that the engine answered, and whether it is leaving. */
   heard(engine: string, options: { readonly leaving: boolean }): void;
+  /** Records that the engine did not answer. */
   silent(engine: string): void;
-  /** Whether the last word of the engine was an answer. */
+  /** Whether the engine answered the last call. */
   answers(engine: string): boolean;
-  /** Engines that may have layers, in the order of their names. */
+  /** Ids of the engines that may be given layers, sorted. */
   live(): readonly string[];
-  /** Whether each engine has answered or was silent for long enough. */
+  /** Whether each engine has answered or was found lost at least once. */
   isSettled(): boolean;
 }
 
 interface Presence {
-  /** `null` until it is decided for the first time. */
+  /** Whether the engine may be used; `null` until the first decision. */
   isLive: boolean | null;
   leaving: boolean;
   answers: boolean;
-  /** Since when it answers, or is silent, without a break. */
+  /** When `answers` or `leaving` last changed. */
   since: number;
-  /** Since when it is live or not. */
+  /** When `isLive` was last set. */
   decidedAt: number;
   losses: number;
 }
 
-/** Creates the presence of engines none of which was heard yet. */
+/** Creates the presence of engines that have not answered yet. */
 export function createEnginePresence(
   engines: readonly string[],
 ): EnginePresence {
@@ -45,20 +47,24 @@
     engines.map((engine) => [engine, newPresence()] as const),
   );
 
-  /** Brings the decision up to now. */
-  function decide(presence: Presence): Presence {
+  /** Updates whether the engine is live as of now. */
+  function updateDecision(presence: Presence): Presence {
     const now = performance.now();
-    const lastedMs = now - presence.since;
+    const unchangedMs = now - presence.since;
     const { isLive, answers, leaving } = presence;
     if (isLive === null) {
-      if (answers) settle(presence, !leaving);
-      else if (lastedMs >= LOST_AFTER_MS) settle(presence, false);
+      if (answers) setDecision(presence, !leaving);
+      else if (unchangedMs >= LOST_AFTER_MS) setDecision(presence, false);
     } else if (isLive) {
-      const isLost = !answers && lastedMs >= LOST_AFTER_MS;
-      if (isLost) presence.losses = lossesOf(presence) + 1;
-      if (isLost || leaving) settle(presence, false);
-    } else if (answers && !leaving && lastedMs >= stableMs(presence)) {
-      settle(presence, true);
+      const isLost = !answers && unchangedMs >= LOST_AFTER_MS;
+      if (isLost) presence.losses = recentLosses(presence) + 1;
+      if (isLost || leaving) setDecision(presence, false);
+    } else if (
+      answers &&
+      !leaving &&
+      unchangedMs >= requiredStableMs(presence)
+    ) {
+      setDecision(presence, true);
     }
     return presence;
   }
@@ -67,29 +73,31 @@
     heard(engine, { leaving }) {
       const presence = presences.get(engine);
       if (!presence) return;
-      decide(presence);
+      updateDecision(presence);
       if (!presence.answers || presence.leaving !== leaving) {
         presence.since = performance.now();
       }
       presence.answers = true;
       presence.leaving = leaving;
-      decide(presence);
+      updateDecision(presence);
     },
     silent(engine) {
       const presence = presences.get(engine);
       if (!presence) return;
-      decide(presence);
+      updateDecision(presence);
       if (presence.answers) presence.since = performance.now();
       presence.answers = false;
     },
     answers: (engine) => presences.get(engine)?.answers ?? false,
     live: () =>
       [...presences]
-        .filter(([, presence]) => decide(presence).isLive)
+        .filter(([, presence]) => updateDecision(presence).isLive)
         .map(([engine]) => engine)
         .sort(),
     isSettled: () =>
-      [...presences.values()].every((one) => decide(one).isLive !== null),
+      [...presences.values()].every(
+        (presence) => updateDecision(presence).isLive !== null,
+      ),
   };
 }
 
@@ -105,17 +113,17 @@
   };
 }
 
-function settle(presence: Presence, isLive: boolean): void {
+function setDecision(presence: Presence, isLive: boolean): void {
   presence.isLive = isLive;
   presence.decidedAt = performance.now();
 }
 
-function lossesOf({ losses, decidedAt }: Presence): number {
-  return performance.now() - decidedAt >= FORGIVEN_AFTER_MS ? 0 : losses;
+function recentLosses({ losses, decidedAt }: Presence): number {
+  return performance.now() - decidedAt >= LOSSES_EXPIRE_AFTER_MS ? 0 : losses;
 }
 
-/** Doubles with each loss, so that one that comes and goes stays out. */
-function stableMs({ losses }: Presence): number {
+/** Doubles with each loss, so that an unstable engine is not used. */
+function requiredStableMs({ losses }: Presence): number {
   const doublings = Math.max(0, losses - 1);
-  return Math.min(STABLE_AT_MOST_MS, STABLE_AFTER_MS * 2 ** doublings);
+  return Math.min(MAX_STABLE_AFTER_MS, STABLE_AFTER_MS * 2 ** doublings);
 }
--- a/packages/placement/src/fencing_number.ts
+++ b/packages/placement/src/fencing_number.ts
@@ -1,12 +1,12 @@
-/** The number that goes out with each order. */
+/** The fencing number that is sent with each order. */
 
-/** Release notes that fit below one fencing number of a lease. */
+/** Range of note numbers within the fencing number of one lease. */
 const NOTES_PER_LEASE = 2 ** 24;
 
 /**
- * Orders rank by lease first and by note second. A late order of the same
- * holder, sent for the note before and delayed on its way, is then refused
- * like that of an earlier holder; repeating an order changes nothing.
+ * Combines both numbers so that orders rank by lease first and by note second.
+ * An engine then refuses a delayed order for an older note of the same holder
+ * as it refuses one of an earlier holder. Repeating an order changes nothing.
  */
 export function orderFencingNumber(order: {
   readonly leaseNumber: number;
--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,4 +1,4 @@
-/** What each engine holds, and the orders that make it so. */
+/** Plans which layers each engine holds, and orders the engines to. */
 export * from "./candidates.ts";
 export * from "./control_lease.ts";
 export * from "./engine_controller.ts";
--- a/packages/placement/src/placed_models.ts
+++ b/packages/placement/src/placed_models.ts
@@ -1,4 +1,4 @@
-/** The models that are placed automatically, as the note describes them. */
+/** Input for plans: models that are placed automatically, and engines. */
 import type {
   AcceleratorSettings,
   EngineSettings,
@@ -10,7 +10,7 @@
 import type { RoomModel } from "./plan_room.ts";
 import type { PlanEngine } from "./plan_types.ts";
 
-/** The placed models that the note serves. */
+/** The models placed automatically of which the note serves a version. */
 export function listPlacedModels(
   record: NoteRecord,
   settings: PlacementSettings,
@@ -36,13 +36,18 @@
   });
 }
 
-/** Versions of a model that may answer, the most preferred first. */
+/** Versions of a model that the note serves, the most preferred first. */
 export function servedVersions(record: NoteRecord, model: string) {
-  const found = record.catalogue.models[model];
-  return (found?.serve ?? []).flatMap((name) => found?.versions[name] ?? []);
+  const catalogueModel = record.catalogue.models[model];
+  return (catalogueModel?.serve ?? []).flatMap(
+    (name) => catalogueModel?.versions[name] ?? [],
+  );
 }
 
-/** Engines without roles, as plans see them; `held` is what each has. */
+/**
+ * Describes engines for a plan; `heldBy` returns the layers an engine holds.
+ * Engines of accelerators without settings are left out.
+ */
 export function listPlanEngines(
   engines: readonly EngineSettings[],
   options: {
@@ -67,7 +72,7 @@
   });
 }
 
-/** Settings of a placed model by its name. */
+/** The placement settings of a model. */
 export function placedModelOf(
   settings: PlacementSettings,
   model: string,
--- a/packages/placement/src/placed_state.ts
+++ b/packages/placement/src/placed_state.ts
@@ -1,4 +1,4 @@
-/** What a plan asks of each engine now, on the way to what it asks in the end. */
+/** The state wanted of each engine while a domain changes to a new plan. */
 import type {
   EngineState,
   HeldLayers,
@@ -22,45 +22,48 @@
 export interface MissingWeights {
   readonly wanted: HeldLayers;
   readonly megabytes: number;
-  /** Loads of a lower number go first. */
+  /** Loads with a lower number run first. */
   readonly priority: number;
 }
 
-/** All that decides what engines are asked for. */
+/** Input from which the wanted state of engines is derived. */
 export interface PlacedStateOptions {
   readonly record: NoteRecord;
   readonly settings: PlacementSettings;
   readonly plan: RoomPlan | null;
-  /** Each engine as it was last read. */
+  /** State of each engine at the last read. */
   readonly states: ReadonlyMap<string, EngineState>;
   readonly memoryMegabytes: (engine: string) => number;
-  /** Whether the weight store has served the layers to the engine. */
+  /** Whether the weight store has loaded the layers to the engine. */
   readonly isLoaded: (engine: string, wanted: HeldLayers) => boolean;
 }
 
 /** The engines of a domain under one note and plan. */
 export interface PlacedState {
-  /** The whole state that an order for the engine states. */
+  /** The complete state that an order to the engine contains. */
   wanted(engine: string): WantedState;
-  /** Weights to ask the weight store for. */
+  /** Weights to load from the weight store. */
   missing(engine: string): readonly MissingWeights[];
-  /** Whether all pipelines hold the versions that they are to prefer. */
+  /** Whether each pipeline holds its most preferred version. */
   isComplete(): boolean;
 }
 
-/** Loads of less preferred versions go after those of all pipelines. */
-const PIPELINES_AT_MOST = 1_000;
+/**
+ * Above the number of pipelines of a model, so that all of them load a
+ * preferred version before any loads the next one.
+ */
+const PRIORITY_RANK_STEP = 1_000;
 
-/** Creates the view of one moment. */
+/** Derives the wanted state of all engines from a snapshot of their states. */
 export function createPlacedState(options: PlacedStateOptions): PlacedState {
   const { record, settings, states, isLoaded } = options;
   const pipelines = options.plan?.pipelines ?? [];
   const heldBy = (engine: string) => states.get(engine)?.held ?? [];
   const targets = new Map<string, readonly Target[]>();
-  for (const model of new Set(pipelines.map((one) => one.model))) {
+  for (const model of new Set(pipelines.map((pipeline) => pipeline.model))) {
     addTargets(model);
   }
-  const isAllHeld = pipelines.every((pipeline) =>
+  const isPlanHeld = pipelines.every((pipeline) =>
     pipeline.stages.every(({ engine }) => {
       const [preferred] = targets.get(engine) ?? [];
       return !preferred || countMissing(preferred.wanted, heldBy(engine)) === 0;
@@ -68,39 +71,41 @@
   );
 
   function addTargets(model: string): void {
-    const own = pipelines.filter((pipeline) => pipeline.model === model);
+    const modelPipelines = pipelines.filter(
+      (pipeline) => pipeline.model === model,
+    );
     const served = servedVersions(record, model);
-    const facts = {
+    const versionOptions = {
       serve: served.map(({ version }) => version),
       versionsAtOnce: options.plan?.versionsAtOnce.get(model) ?? 1,
       isCovered: (version: string) => isCovered(model, version),
-      pipelines: own.length,
+      pipelines: modelPipelines.length,
       holds(index: number, version: string) {
-        const pipeline = own[index];
+        const pipeline = modelPipelines[index];
         if (!pipeline) return false;
         return rangesOf(pipeline, version).every(
           ({ engine, wanted }) => countMissing(wanted, heldBy(engine)) === 0,
         );
       },
     };
-    own.forEach((pipeline, index) => {
-      wantedVersions(index, facts).forEach((version, rank) => {
-        const priority = rank * PIPELINES_AT_MOST + index;
+    modelPipelines.forEach((pipeline, index) => {
+      wantedVersions(index, versionOptions).forEach((version, rank) => {
+        const priority = rank * PRIORITY_RANK_STEP + index;
         for (const { engine, wanted } of rangesOf(pipeline, version)) {
-          const known = targets.get(engine) ?? [];
-          targets.set(engine, [...known, { wanted, priority }]);
+          const existing = targets.get(engine) ?? [];
+          targets.set(engine, [...existing, { wanted, priority }]);
         }
       });
     });
   }
 
-  /** The layers of a version on each engine of a pipeline. */
+  /** The layers of a version that each engine of a pipeline serves. */
   function rangesOf(pipeline: PlannedPipeline, version: string) {
     const { model, stages } = pipeline;
-    const found = servedVersions(record, model).find(
+    const servedVersion = servedVersions(record, model).find(
       (served) => served.version === version,
     );
-    const layers = found?.layers ?? 0;
+    const layers = servedVersion?.layers ?? 0;
     return stages
       .filter(({ from }) => from < layers)
       .map(({ engine, from, to }) => {
@@ -115,34 +120,36 @@
     if (layers === undefined) return false;
     const ranges = [...states.values()].flatMap(({ held }) =>
       held
-        .filter((one) => isSameVersion(one, { model, version }))
-        .map((one) => one.layers),
+        .filter((range) => isSameVersion(range, { model, version }))
+        .map((range) => range.layers),
     );
     return coversAll(ranges, layers);
   }
 
-  function has(engine: string, wanted: HeldLayers): boolean {
+  function hasWeights(engine: string, wanted: HeldLayers): boolean {
     return (
       countMissing(wanted, heldBy(engine)) === 0 || isLoaded(engine, wanted)
     );
   }
 
   /**
-   * Instances send requests to a preferred version as soon as some engines
-   * hold all of it. Shown by the first pipeline that has it, it would draw the
-   * work of all pipelines there; so the others wait for the last one.
+   * Whether an engine may be ordered to hold layers that it has weights for.
+   * Instances send requests to a preferred version as soon as some engines hold
+   * all of it. If the first pipeline with its weights exposed it, all requests
+   * would go to that pipeline, so pipelines expose a new version together.
    */
-  function mayShow(wanted: HeldLayers): boolean {
+  function canExpose(wanted: HeldLayers): boolean {
     const { model, version } = wanted;
     if (isCovered(model, version)) return true;
     const others = servedVersions(record, model).filter(
       (served) => served.version !== version,
     );
     if (!others.some((other) => isCovered(model, other.version))) return true;
-    return [...targets].every(([engine, list]) =>
-      list.every(
+    return [...targets].every(([engine, engineTargets]) =>
+      engineTargets.every(
         (target) =>
-          !isSameVersion(target.wanted, wanted) || has(engine, target.wanted),
+          !isSameVersion(target.wanted, wanted) ||
+          hasWeights(engine, target.wanted),
       ),
     );
   }
@@ -158,24 +165,28 @@
     return megabytes <= options.memoryMegabytes(engine);
   }
 
-  function holdNow(engine: string): readonly HeldLayers[] {
+  function layersToHold(engine: string): readonly HeldLayers[] {
     const allowed = heldBy(engine).filter(isAllowed);
     const wanted = (targets.get(engine) ?? []).map((target) => target.wanted);
     if (wanted.length === 0) return allowed;
-    const shown = wanted.filter((one) => has(engine, one) && mayShow(one));
-    if (isAllHeld) return shown;
-    // What is not planned any more goes on to answer until the plan is held,
-    // unless the engine needs its memory for what is planned.
-    const old = allowed.filter(
-      (held) => !wanted.some((one) => isSameRange(one, held)),
+    const exposed = wanted.filter(
+      (layers) => hasWeights(engine, layers) && canExpose(layers),
+    );
+    if (isPlanHeld) return exposed;
+    // Layers that are not in the plan are kept until the plan is held, unless
+    // the engine needs their memory for planned layers.
+    const unplanned = allowed.filter(
+      (held) => !wanted.some((layers) => isSameRange(layers, held)),
     );
-    return fits(engine, [...old, ...wanted]) ? [...old, ...shown] : shown;
+    return fits(engine, [...unplanned, ...wanted])
+      ? [...unplanned, ...exposed]
+      : exposed;
   }
 
   return {
-    isComplete: () => isAllHeld,
+    isComplete: () => isPlanHeld,
     wanted(engine) {
-      const hold = [...holdNow(engine)];
+      const hold = [...layersToHold(engine)];
       const models = [...new Set(hold.map(({ model }) => model))];
       const adapters = models.flatMap((model) =>
         (record.catalogue.models[model]?.adapters ?? []).map((adapter) => ({
@@ -189,7 +200,7 @@
       const held = heldBy(engine);
       return (targets.get(engine) ?? []).flatMap(({ wanted, priority }) => {
         const layers = countMissing(wanted, held);
-        // What has to go first is dropped by an order; the load waits for it.
+        // A load that does not fit waits until an order has freed memory.
         if (layers === 0 || !fits(engine, [...held, wanted])) return [];
         const placed = placedModelOf(settings, wanted.model);
         const megabytes = layers * (placed?.layerMegabytes ?? 0);
@@ -199,7 +210,7 @@
   };
 }
 
-/** Layers that an engine is to hold in the end. */
+/** Layers that an engine holds once the plan is complete. */
 interface Target {
   readonly wanted: HeldLayers;
   readonly priority: number;
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -1,4 +1,4 @@
-/** Keeps a plan for the engines of one failure domain while it orders them. */
+/** Plans the layers of a failure domain's engines while the lease is held. */
 
 import type { NoteKeeper } from "@rosemarypin/release";
 import type {
@@ -19,51 +19,54 @@
 import { planWithRoom, type RoomPlan } from "./plan_room.ts";
 import type { WantedState } from "./wanted_layers.ts";
 
-/** How often the plan is compared with what has changed. */
+/** Interval at which the plan's inputs are checked for changes. */
 const TICK_MS = 250;
 
 export interface PlacerOptions {
   readonly failureDomain: string;
-  /** The domain's engines; those with roles are left alone. */
+  /** The domain's engines; those with roles are ignored. */
   readonly engines: readonly EngineSettings[];
   readonly settings: PlacementSettings;
   readonly keeper: Pick<NoteKeeper, "applied" | "onChange">;
   readonly lease: Pick<ControlLease, "held">;
   readonly loader: Pick<WeightLoader, "load">;
-  /** Whether calls succeed to the engines that this instance uses. */
+  /** Whether calls succeed, for each engine that this instance uses. */
   readonly usable?: () => ReadonlyMap<string, boolean>;
   readonly metrics?: Metrics;
 }
 
-/** Says what engines without roles are to hold. */
+/** Decides the layers of engines without roles. */
 export interface Placer {
-  /** Whether the engine's layers are decided here. */
+  /** Whether the placer decides the engine's layers. */
   places(engine: string): boolean;
-  /** Whether what the engine holds has to be read before it is ordered. */
+  /** Whether the engine's state must be read before it is ordered. */
   isUnread(engine: string): boolean;
-  /** What to order now; `null` until the engine was read or is lost. */
+  /** The state to order now; `null` until the engine is read or lost. */
   wanted(engine: string, record: NoteRecord): WantedState | null;
-  /** Takes the engine's state, or `null` when it does not answer. */
+  /**
+   * Records the engine's state, or `null` when it does not answer. `isOrdered`
+   * marks a state that an engine reports in reply to an order.
+   */
   observe(
     engine: string,
     state: EngineState | null,
     options?: { readonly isOrdered: boolean },
   ): void;
-  /** Called with engines to be looked at; returns how to stop. */
+  /** Subscribes to engines that must be checked; returns the unsubscribe. */
   onChange(listener: (engines: readonly string[]) => void): () => void;
   /** The plan in use, for tests and status; `null` while there is none. */
   plan(): RoomPlan | null;
   stop(): void;
 }
 
-/** Starts to plan whenever the lease is held. */
+/** Starts planning, which takes place while the lease is held. */
 export function createPlacer(options: PlacerOptions): Placer {
   const { settings, keeper, lease, metrics } = options;
   const domain = options.failureDomain;
   const engines = options.engines.filter(({ roles }) => roles.length === 0);
-  const ids = engines.map(({ id }) => id);
-  const placed = new Set(ids);
-  const memory = new Map(
+  const engineIds = engines.map(({ id }) => id);
+  const placedEngines = new Set(engineIds);
+  const memoryByEngine = new Map(
     listPlanEngines(engines, {
       accelerators: settings.accelerators,
       heldBy: () => [],
@@ -72,88 +75,90 @@
   const listeners = new Set<(engines: readonly string[]) => void>();
   const loads = createEngineLoads({
     loader: options.loader,
-    onLoaded: () => (view = null),
+    onLoaded: () => (cachedState = null),
   });
-  /** What each engine was to hold when its task was last woken. */
-  const told = new Map<string, string>();
+  /** Wanted state of each engine, as JSON, at its last notification. */
+  const lastNotified = new Map<string, string>();
   const states = new Map<string, EngineState>();
-  let presence = createEnginePresence(ids);
+  let presence = createEnginePresence(engineIds);
   let plan: RoomPlan | null = null;
-  let plannedFor = "";
-  let tenure: number | null = null;
+  let planKey = "";
+  let leaseNumber: number | null = null;
   let isPlanning = false;
   let stopped = false;
-  /** The view that loads and tasks were last brought in step with. */
-  let followed: PlacedState | null = null;
-  let view: { state: PlacedState; record: NoteRecord } | null = null;
+  /** The wanted state last passed on to loads and listeners. */
+  let appliedState: PlacedState | null = null;
+  let cachedState: { state: PlacedState; record: NoteRecord } | null = null;
   const timer = engines.length > 0 ? setInterval(tick, TICK_MS) : undefined;
 
   /**
-   * A plan is made from what engines hold, so the next holder of the lease
-   * comes to the same one. What this instance knew under an earlier lease is
-   * of no use: another holder may have ordered since.
+   * Discards all state when the lease is acquired, lost or acquired under a
+   * new number, as another holder may have ordered meanwhile. A plan is made
+   * from the layers that engines hold, so each holder arrives at the same plan.
    */
-  function follow(fencingNumber: number | null): void {
-    if (fencingNumber === tenure) return;
-    tenure = fencingNumber;
+  function resetOnLeaseChange(fencingNumber: number | null): void {
+    if (fencingNumber === leaseNumber) return;
+    leaseNumber = fencingNumber;
     forgetPlan({ domain, models: settings.models, metrics });
     states.clear();
-    told.clear();
+    lastNotified.clear();
     loads.stop();
-    presence = createEnginePresence(ids);
+    presence = createEnginePresence(engineIds);
     plan = null;
-    plannedFor = "";
-    view = null;
+    planKey = "";
+    cachedState = null;
   }
 
   function tick(): void {
-    follow(lease.held()?.fencingNumber ?? null);
+    resetOnLeaseChange(lease.held()?.fencingNumber ?? null);
     const record = keeper.applied();
-    if (tenure === null || !record) return;
-    const usable = options.usable?.();
-    const doubtful = ids.filter((engine) => {
-      const isUsable = usable?.get(engine);
-      // One that is leaving answers, and is not to be used.
+    if (leaseNumber === null || !record) return;
+    const reachable = options.usable?.();
+    const mismatched = engineIds.filter((engine) => {
+      const isReachable = reachable?.get(engine);
+      // A leaving engine answers, but is never usable.
       if (states.get(engine)?.leaving) return false;
-      return isUsable !== undefined && isUsable !== presence.answers(engine);
+      return (
+        isReachable !== undefined && isReachable !== presence.answers(engine)
+      );
     });
-    if (doubtful.length > 0) tell(doubtful);
+    if (mismatched.length > 0) notify(mismatched);
     void replan(record);
     const state = stateFor(record);
-    if (state === followed) return;
-    followed = state;
-    followLoads(state);
-    tellChanged(state);
+    if (state === appliedState) return;
+    appliedState = state;
+    updateLoads(state);
+    notifyChanged(state);
   }
 
-  /** Makes a new plan if its inputs have changed, while orders go on. */
+  /** Makes a new plan if its inputs changed; orders continue meanwhile. */
   async function replan(record: NoteRecord): Promise<void> {
     if (isPlanning || (!plan && !presence.isSettled())) return;
     const live = new Set(presence.live());
     const models = listPlacedModels(record, settings);
     const key = JSON.stringify([[...live], models]);
-    if (key === plannedFor) return;
-    const plannedIn = tenure;
+    if (key === planKey) return;
+    const leaseAtStart = leaseNumber;
     const startedAt = performance.now();
-    const usable = engines.filter(({ id }) => live.has(id));
+    const liveEngines = engines.filter(({ id }) => live.has(id));
     const { accelerators } = settings;
     isPlanning = true;
-    const made = await planWithRoom(
-      listPlanEngines(usable, { accelerators, heldBy }),
+    const newPlan = await planWithRoom(
+      listPlanEngines(liveEngines, { accelerators, heldBy }),
       models,
     );
     isPlanning = false;
-    if (stopped || tenure !== plannedIn) return;
-    plan = made;
-    plannedFor = key;
-    view = null;
+    if (stopped || leaseNumber !== leaseAtStart) return;
+    plan = newPlan;
+    planKey = key;
+    cachedState = null;
     const tookMs = performance.now() - startedAt;
-    reportPlan(made, { domain, models: settings.models, tookMs, metrics });
+    reportPlan(newPlan, { domain, models: settings.models, tookMs, metrics });
   }
 
   /**
-   * What an engine was planned to hold counts as held, loaded or not: a plan
-   * that is half carried out is not given up for another one.
+   * Layers that count as held in the next plan. Planned layers count whether
+   * loaded or not, so that a plan in progress is not replaced by another.
    */
   function heldBy(engine: string): readonly HeldLayers[] {
     const planned = (plan?.pipelines ?? []).flatMap(({ model, stages }) =>
@@ -168,67 +173,69 @@
     return planned.length > 0 ? planned : (states.get(engine)?.held ?? []);
   }
 
-  function followLoads({ missing }: PlacedState): void {
-    for (const engine of ids) {
+  function updateLoads({ missing }: PlacedState): void {
+    for (const engine of engineIds) {
       loads.follow(engine, presence.answers(engine) ? missing(engine) : []);
     }
   }
 
   function stateFor(record: NoteRecord): PlacedState {
-    if (view?.record === record) return view.state;
+    if (cachedState?.record === record) return cachedState.state;
     const state = createPlacedState({
       record,
       settings,
       plan,
       states,
-      memoryMegabytes: (engine) => memory.get(engine) ?? 0,
+      memoryMegabytes: (engine) => memoryByEngine.get(engine) ?? 0,
       isLoaded: loads.isLoaded,
     });
-    view = { state, record };
+    cachedState = { state, record };
     return state;
   }
 
-  /** Wakes the tasks of engines that are now to hold something else. */
-  function tellChanged(state: PlacedState): void {
-    const changed = ids.filter((engine) => {
+  /** Notifies listeners of engines whose wanted state has changed. */
+  function notifyChanged(state: PlacedState): void {
+    const changed = engineIds.filter((engine) => {
       const wanted = JSON.stringify(state.wanted(engine));
-      const isNews = told.get(engine) !== wanted;
-      told.set(engine, wanted);
-      return isNews;
+      const hasChanged = lastNotified.get(engine) !== wanted;
+      lastNotified.set(engine, wanted);
+      return hasChanged;
     });
-    if (changed.length > 0) tell(changed);
+    if (changed.length > 0) notify(changed);
   }
 
-  function tell(changed: readonly string[]): void {
+  function notify(changed: readonly string[]): void {
     for (const listener of listeners) listener(changed);
   }
 
   return {
-    places: (engine) => placed.has(engine),
+    places: (engine) => placedEngines.has(engine),
     wanted(engine, record) {
-      follow(lease.held()?.fencingNumber ?? null);
+      resetOnLeaseChange(lease.held()?.fencingNumber ?? null);
       if (states.has(engine)) return stateFor(record).wanted(engine);
       const isLost = presence.isSettled() && !presence.live().includes(engine);
       return isLost ? stateFor(record).wanted(engine) : null;
     },
     isUnread: (engine) =>
-      placed.has(engine) && !(states.has(engine) && presence.answers(engine)),
+      placedEngines.has(engine) &&
+      !(states.has(engine) && presence.answers(engine)),
     observe(engine, state, { isOrdered } = { isOrdered: false }) {
-      if (!placed.has(engine)) return;
-      if (presence.answers(engine) !== (state !== null)) view = null;
+      if (!placedEngines.has(engine)) return;
+      if (presence.answers(engine) !== (state !== null)) cachedState = null;
       if (!state) return presence.silent(engine);
       presence.heard(engine, { leaving: state.leaving });
-      const before = states.get(engine);
-      const isRestarted = before && before.incarnation !== state.incarnation;
+      const previous = states.get(engine);
+      const isRestarted =
+        previous && previous.incarnation !== state.incarnation;
       if (isRestarted) loads.forget(engine);
-      // The order named layers that the engine had before it was restarted.
-      // Its memory is empty: whatever it says, it has no weights for them.
+      // The order listed layers that the engine held before it restarted. The
+      // engine repeats them in its reply, but its memory has no weights.
       const isEmptied = isRestarted && isOrdered;
       const held = isEmptied ? [] : state.held;
       states.set(engine, { ...state, held });
       loads.settle(engine, held);
-      if (JSON.stringify(before?.held) === JSON.stringify(held)) return;
-      view = null;
+      if (JSON.stringify(previous?.held) === JSON.stringify(held)) return;
+      cachedState = null;
     },
     onChange(listener) {
       listeners.add(listener);
--- a/packages/placement/src/placer_test.ts
+++ b/packages/placement/src/placer_test.ts
@@ -40,12 +40,12 @@
   }));
 }
 
-/** A note under which these versions answer, the first one first. */
+/** A note that serves these versions, the most preferred first. */
 function note(number: number, ...versions: string[]): NoteRecord {
   return serveVersions({ number, model: MODEL, versions, layers: LAYERS });
 }
 
-/** The same note with a version of a second model. */
+/** The same note with a version of a second model, `drafts`. */
 function withDrafts(record: NoteRecord): NoteRecord {
   const { number } = record;
   const options = { number, model: "drafts", versions: ["d1"], layers: LAYERS };
@@ -57,7 +57,7 @@
   };
 }
 
-/** A weight store that serves at once, or when it is told to. */
+/** A weight store that serves loads at once, or on demand while stopped. */
 function createStore(onAsked: (engine: string) => void = () => {}) {
   const waiting: (() => void)[] = [];
   const asked: string[] = [];
@@ -65,7 +65,7 @@
   return {
     asked,
     stop: () => (isDown = true),
-    /** Serves the first of those that wait. */
+    /** Serves the first `count` waiting loads. */
     serve(count: number) {
       for (const serve of waiting.splice(0, count)) serve();
     },
@@ -84,7 +84,7 @@
   };
 }
 
-/** An instance that orders the engines whenever it has the lease. */
+/** An instance that orders the engines while it has the lease. */
 function startInstance(
   engines: readonly EngineSettings[],
   options: {
@@ -141,11 +141,11 @@
   };
 }
 
-/** Engines, one instance that holds the lease, and version v1. */
+/** Engines that hold v1, and the instance with the lease on them. */
 async function startDomain(count: number, accelerator?: string) {
   const engines = createEngines(count, accelerator);
   const client = createOrderedEngines(engines);
-  /** What an engine held whenever it was to load something. */
+  /** Layers that the engine held at the start of each load. */
   const heldWhenAsked: string[] = [];
   const store = createStore((engine) => {
     heldWhenAsked.push(client.held(engine).join(" "));
@@ -153,13 +153,13 @@
   const record = note(1, "v1");
   const instance = startInstance(engines, { client, record, store });
   instance.hold(1);
-  await pass(3 * SECOND);
+  await advance(3 * SECOND);
   return { engines, client, store, heldWhenAsked, ...instance };
 }
 
-const pass = (durationMs: number) => vi.advanceTimersByTimeAsync(durationMs);
+const advance = (durationMs: number) => vi.advanceTimersByTimeAsync(durationMs);
 
-/** What all engines hold, in the order of their names. */
+/** Layers that each engine holds, in the order of `engines`. */
 function heldBy(client: OrderedEngines, engines: readonly EngineSettings[]) {
   return engines.map(({ id }) => [...client.held(id)].sort().join(" "));
 }
@@ -171,7 +171,7 @@
 });
 
 describe("engines without roles", () => {
-  it("get pipelines and are confirmed", async () => {
+  it("are placed in pipelines and confirm the note", async () => {
     const { engines, client, controller, placer } = await startDomain(4);
     expect(heldBy(client, engines)).toEqual([
       "assist/v1:0-2",
@@ -184,50 +184,50 @@
     expect(confirmed.map((one) => one.confirmed)).toEqual([1, 1, 1, 1]);
   });
 
-  it("drop what is withdrawn at once, while the weight store is away", async () => {
+  it("drop a recalled version at once in a weight store outage", async () => {
     // v1 is recalled while v2 cannot be loaded. If the order waited for the
-    // weights of v2, v1 would stay on the engines for as long as the outage.
+    // weights of v2, v1 would stay on the engines for the whole outage.
     const { engines, client, store, apply, controller } = await startDomain(4);
     store.stop();
     apply(note(2, "v2"));
-    await pass(100);
+    await advance(100);
     expect(heldBy(client, engines)).toEqual(["", "", "", ""]);
     const confirmed = controller.confirmations();
     expect(confirmed.map((one) => one.confirmed)).toEqual([2, 2, 2, 2]);
     store.start();
-    await pass(2 * SECOND);
+    await advance(2 * SECOND);
     expect(heldBy(client, engines).join(" ")).toContain("assist/v2:0-2");
   });
 
-  it("hold a new version beside the old, and show it when it is whole", async () => {
-    // v2 is added. Shown by the first pipeline that has it, it would draw the
-    // work of both pipelines there; without v1, nobody would answer meanwhile.
+  it("expose a new version once all pipelines have its weights", async () => {
+    // v2 is added. If the first pipeline with its weights exposed it, all
+    // requests would go there; if v1 were dropped, no engine could answer.
     const { engines, client, store, apply } = await startDomain(4);
     store.stop();
     apply(note(2, "v2", "v1"));
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     expect(store.asked.filter((line) => line.endsWith("v2"))).toHaveLength(4);
     store.serve(3);
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     expect(heldBy(client, engines).join(" ")).not.toContain("v2");
     expect(heldBy(client, engines)[0]).toBe("assist/v1:0-2");
     store.start();
-    await pass(2 * SECOND);
+    await advance(2 * SECOND);
     for (const held of heldBy(client, engines)) {
       expect(held).toContain("assist/v1");
       expect(held).toContain("assist/v2");
     }
   });
 
-  it("never lose the last whole version to make room", async () => {
-    // v2 and v3 are added in a row, and there is room for two versions. With
-    // both preferred ones on their way, v1 is all that answers.
+  it("never drop the only complete version to free memory", async () => {
+    // v2 and v3 are added in quick succession, and memory fits two versions.
+    // While both preferred ones are being loaded, only v1 can answer.
     const { engines, client, store, apply } = await startDomain(4, "small");
     store.stop();
     apply(note(2, "v2", "v1"));
-    await pass(SECOND);
+    await advance(SECOND);
     apply(note(3, "v3", "v2", "v1"));
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     expect(heldBy(client, engines)).toEqual([
       "assist/v1:0-2",
       "assist/v1:2-4",
@@ -237,14 +237,14 @@
   });
 });
 
-describe("a change that takes its time", () => {
-  it("leaves the note in force while weights are loaded", async () => {
-    // A note is in force when engines have only what it allows. If each load
-    // took the confirmation back, the status would go to and fro for minutes.
+describe("a change that needs loads", () => {
+  it("keeps the note in force while weights are loaded", async () => {
+    // A note is in force when engines hold only what it allows. If each load
+    // cleared the confirmation, the status would flap for minutes.
     const { client, store, apply, controller } = await startDomain(4);
     store.stop();
     apply(note(2, "v2", "v1"));
-    await pass(SECOND);
+    await advance(SECOND);
     const take = client.order;
     const confirmed: number[] = [];
     client.order = (address, order) => {
@@ -252,36 +252,36 @@
       return take(address, order);
     };
     store.start();
-    await pass(2 * SECOND);
+    await advance(2 * SECOND);
     expect(new Set(confirmed)).toEqual(new Set([2]));
   });
 
-  it("keeps layers that are planned no more until the plan is held", async () => {
-    // A second model is added, and the third pipeline of the first is given
-    // up for it. Dropped before the new weights have come, its engines would
-    // stand idle for as long as the store takes.
+  it("keeps layers of the old plan until the new plan is held", async () => {
+    // A second model is added and replaces pipelines of the first. If their
+    // layers were dropped before the new weights are loaded, the engines would
+    // be idle during the load.
     const { engines, client, store, apply } = await startDomain(8);
     store.stop();
     apply(withDrafts(note(2, "v1")));
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     expect(store.asked.filter((line) => line.endsWith("d1"))).not.toEqual([]);
     const meanwhile = heldBy(client, engines);
     expect(meanwhile.every((held) => held.startsWith("assist/v1"))).toBe(true);
     store.start();
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     const models = heldBy(client, engines).map((held) => held.split("/")[0]);
     expect(models.filter((model) => model === "drafts")).toHaveLength(4);
   });
 
-  it("has an engine drop layers before it loads in their place", async () => {
-    // v3 is added where two versions fit. Loaded while v1 is still there, it
-    // would take the memory of the KV caches, and answers would fail.
+  it("frees memory on an engine before it loads new layers", async () => {
+    // v3 is added where two versions fit. Loaded before v1 is dropped, it would
+    // take the memory of the KV caches, and requests would fail.
     const domain = await startDomain(4, "small");
     domain.apply(note(2, "v2", "v1"));
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     const before = domain.heldWhenAsked.length;
     domain.apply(note(3, "v3", "v2", "v1"));
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     const held = domain.heldWhenAsked.slice(before);
     expect(held).toHaveLength(4);
     for (const versions of held) expect(versions).not.toContain("v1");
@@ -291,91 +291,90 @@
   });
 });
 
-describe("an engine that goes away", () => {
-  it("keeps its place for a while, and loses it then", async () => {
-    // An engine is silent. Given to others at once, its layers would be moved
-    // for each restart; never given away, they would be missing for good.
+describe("an unstable engine", () => {
+  it("keeps its layers in a short outage but not in a long one", async () => {
+    // An engine does not answer. If its layers were reassigned at once, each
+    // restart would move weights; if never, they would stay missing.
     const { engines, client, store } = await startDomain(5);
     const before = heldBy(client, engines);
     const loads = store.asked.length;
     client.silence("engine-1");
-    await pass(8 * SECOND);
+    await advance(8 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
     expect(store.asked).toHaveLength(loads);
-    await pass(5 * SECOND);
+    await advance(5 * SECOND);
     expect(store.asked.length).toBeGreaterThan(loads);
   });
 
-  it("is given nothing for as long as it comes and goes", async () => {
-    // An engine restarts every 20 s. With a place each time, weights would be
-    // moved to it and back for ever, and its pipeline would break each time.
+  it("gets no layers while it restarts repeatedly", async () => {
+    // An engine restarts every 20 s. If it got layers each time, weights would
+    // be moved to it and back, and its pipeline would break each time.
     const { client, store } = await startDomain(6);
     client.silence("engine-1");
-    await pass(15 * SECOND);
+    await advance(15 * SECOND);
     const loads = store.asked.length;
     for (let round = 0; round < 5; round++) {
       client.bringBack("engine-1", { isRestarted: true });
-      await pass(10 * SECOND);
+      await advance(10 * SECOND);
       client.silence("engine-1");
-      await pass(10 * SECOND);
+      await advance(10 * SECOND);
     }
     expect(store.asked).toHaveLength(loads);
     client.bringBack("engine-1", { isRestarted: true });
-    await pass(90 * SECOND);
+    await advance(90 * SECOND);
     expect(store.asked.length).toBeGreaterThan(loads);
   });
 
-  it("gets its own layers again after a quick restart", async () => {
+  it("reloads its own layers after a quick restart", async () => {
     const { client, store } = await startDomain(4);
     const before = client.held("engine-1");
     const loads = store.asked.length;
     client.bringBack("engine-1", { isRestarted: true });
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     expect(client.held("engine-1")).toEqual(before);
     expect(store.asked.slice(loads)).toEqual(["engine-1 v1"]);
   });
 
-  it("is given its weights again when it restarted unseen", async () => {
-    // An engine restarts, and before anybody has read it a note is ordered.
-    // The order states layers that the engine had: its memory is empty.
+  it("reloads its weights if ordered before its restart is seen", async () => {
+    // An engine restarts, and a note is ordered before its state is read. The
+    // order lists layers that the engine held, but its memory is empty.
     const { client, store, apply } = await startDomain(4);
     const loads = store.asked.length;
     client.bringBack("engine-1", { isRestarted: true });
     apply(note(2, "v1"));
-    await pass(3 * SECOND);
+    await advance(3 * SECOND);
     expect(store.asked.slice(loads)).toEqual(["engine-1 v1"]);
     expect(client.held("engine-1")).toEqual(["assist/v1:0-2"]);
   });
 
-  it("does not move anything by a load that is reported wrongly", async () => {
+  it("moves no weights when it reports a wrong load", async () => {
     const { engines, client } = await startDomain(4);
     const before = heldBy(client, engines);
     const orders = client.orders.length;
     client.report("engine-1", 10_000);
-    await pass(20 * SECOND);
+    await advance(20 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
     expect(client.orders).toHaveLength(orders);
   });
 });
 
-describe("a change of the holder", () => {
-  it("in the middle of a plan leaves one whole plan", async () => {
-    // A machine was lost, and another engine is to take its layers, but its
-    // weights are still on their way when the holder loses its lease. The next
-    // one plans from what it finds. All engines must end with the ranges of
-    // one plan and nothing of another.
+describe("a change of the lease holder", () => {
+  it("during a plan change ends with one consistent plan", async () => {
+    // An engine is lost and its layers are being loaded to another one when
+    // the holder loses its lease. The next holder plans from the layers that
+    // engines hold. All engines must end with the ranges of one plan only.
     const domain = await startDomain(5);
     const { engines, client } = domain;
     domain.store.stop();
     client.silence("engine-1");
-    await pass(13 * SECOND);
+    await advance(13 * SECOND);
     expect(domain.placer.plan()?.movedMegabytes).toBeGreaterThan(0);
     const orders = client.orders.length;
     domain.lose();
-    await pass(SECOND);
+    await advance(SECOND);
     const next = startInstance(engines, { client, record: note(1, "v1") });
     next.hold(2);
-    await pass(15 * SECOND);
+    await advance(15 * SECOND);
     const planned = next.placer.plan()?.pipelines ?? [];
     expect(planned.length).toBeGreaterThan(1);
     for (const { stages } of planned) {
@@ -389,9 +388,9 @@
     );
   });
 
-  it("moves nothing where all is as it should be", async () => {
-    // Holders change with every restart of an instance. Each with a plan of
-    // its own, weights would move on each of them.
+  it("moves no weights when the plan is already held", async () => {
+    // Each restart of an instance changes the holder. If each holder made a
+    // different plan, every change would move weights.
     const domain = await startDomain(6);
     const { engines, client } = domain;
     const before = heldBy(client, engines);
@@ -400,31 +399,31 @@
     const record = note(1, "v1");
     const next = startInstance(engines, { client, record, store });
     next.hold(2);
-    await pass(5 * SECOND);
+    await advance(5 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
     expect(store.asked).toEqual([]);
   });
 
-  it("is not undone by a holder whose lease comes back", async () => {
-    // A holder loses its lease for a while. Meanwhile the next one gives the
-    // layers of a machine that restarts slowly to an idle one. The plan that
-    // the first holder still has would move them back.
+  it("is not undone when the earlier holder regains the lease", async () => {
+    // A holder loses its lease. Meanwhile the next one moves the layers of an
+    // engine with a slow restart to an idle engine. The first holder's outdated
+    // plan would move them back.
     const domain = await startDomain(5);
     const { engines, client, store } = domain;
     domain.lose();
-    await pass(SECOND);
+    await advance(SECOND);
     client.silence("engine-1");
     const next = startInstance(engines, { client, record: note(1, "v1") });
     next.hold(2);
-    await pass(15 * SECOND);
+    await advance(15 * SECOND);
     client.bringBack("engine-1", { isRestarted: true });
-    await pass(40 * SECOND);
+    await advance(40 * SECOND);
     next.lose();
     const before = heldBy(client, engines);
     expect(before).toContain("");
     const loads = store.asked.length;
     domain.hold(3);
-    await pass(5 * SECOND);
+    await advance(5 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
     expect(store.asked).toHaveLength(loads);
   });
--- a/packages/placement/src/wanted_layers.ts
+++ b/packages/placement/src/wanted_layers.ts
@@ -1,16 +1,16 @@
-/** What an engine is to hold under a note. */
+/** The layers and adapters that an engine must hold under a note. */
 import type {
   EngineOrder,
   EngineSettings,
   NoteRecord,
 } from "@rosemarypin/schemas";
 
-/** Everything an engine is to hold; an order adds a fencing number. */
+/** Complete wanted state of an engine; an order adds a fencing number. */
 export type WantedState = Omit<EngineOrder, "fencingNumber">;
 
 /**
- * The whole wanted state of one engine. Layers and adapters of a withdrawn
- * batch are not in the catalogue, so an order leaves no trace of them.
+ * The wanted state of an engine with roles. Withdrawn versions and adapters
+ * are not in the catalogue, so the engine drops them on the next order.
  */
 export function wantedState(
   engine: EngineSettings,
--- a/packages/placement/src/wanted_versions.ts
+++ b/packages/placement/src/wanted_versions.ts
@@ -1,60 +1,61 @@
-/** Which versions of a placed model the engines of a pipeline are to hold. */
+/** Chooses the versions of a placed model that a pipeline must hold. */
 
-/** What is known of the versions that the note serves. */
-export interface VersionFacts {
-  /** Names of versions that may answer, the most preferred first. */
+/** Served versions of a model, and where they are held. */
+export interface WantedVersionsOptions {
+  /** Names of the versions served, the most preferred first. */
   readonly serve: readonly string[];
-  /** Versions for whose weights there is room. */
+  /** Number of versions whose weights fit in memory. */
   readonly versionsAtOnce: number;
-  /** Whether engines of the domain hold all layers of a version. */
+  /** Whether the domain's engines together hold all layers of a version. */
   readonly isCovered: (version: string) => boolean;
-  /** Whether a pipeline of the plan holds all its layers of a version. */
+  /** Whether the pipeline with this index holds all layers of a version. */
   readonly holds: (pipeline: number, version: string) => boolean;
-  /** Pipelines that the plan has for the model. */
+  /** Number of pipelines that the plan has for the model. */
   readonly pipelines: number;
 }
 
-/** The versions of one pipeline, the most preferred first. */
+/** The versions that a pipeline must hold, the most preferred first. */
 export function wantedVersions(
   pipeline: number,
-  facts: VersionFacts,
+  options: WantedVersionsOptions,
 ): readonly string[] {
-  const { serve, versionsAtOnce } = facts;
-  if (versionsAtOnce > 1 || serve.length <= 1) return besideEachOther(facts);
-  return oneAfterTheOther(pipeline, facts);
+  const { serve, versionsAtOnce } = options;
+  if (versionsAtOnce > 1 || serve.length <= 1)
+    return concurrentVersions(options);
+  return rollingVersions(pipeline, options);
 }
 
 /**
- * While none of the preferred versions is whole, one that is keeps its place:
- * dropped to make room, it would leave nobody to answer until the load ends.
+ * The preferred versions. While none of them is completely held, the last is
+ * replaced by a version that is, as otherwise no engine could answer.
  */
-function besideEachOther(facts: VersionFacts): readonly string[] {
-  const { serve, versionsAtOnce, isCovered } = facts;
+function concurrentVersions(options: WantedVersionsOptions): readonly string[] {
+  const { serve, versionsAtOnce, isCovered } = options;
   const preferred = serve.slice(0, versionsAtOnce);
   if (preferred.some(isCovered)) return preferred;
-  const answering = serve.find(isCovered);
-  if (answering === undefined) return preferred;
-  return [...serve.slice(0, versionsAtOnce - 1), answering];
+  const fallback = serve.find(isCovered);
+  if (fallback === undefined) return preferred;
+  return [...serve.slice(0, versionsAtOnce - 1), fallback];
 }
 
 /**
- * Without room for two versions, pipelines change one at a time, and the last
- * whole pipeline of a model is not given up for a version still to be loaded.
+ * With memory for one version, pipelines are updated one at a time, and the
+ * only complete pipeline keeps its version until another one is complete.
  */
-function oneAfterTheOther(
+function rollingVersions(
   pipeline: number,
-  facts: VersionFacts,
+  options: WantedVersionsOptions,
 ): readonly string[] {
-  const { serve, holds, pipelines } = facts;
-  const next = serve.slice(0, 1);
+  const { serve, holds, pipelines } = options;
+  const preferred = serve.slice(0, 1);
   const indexes = Array.from({ length: pipelines }, (_, index) => index);
-  const heldBy = (index: number) =>
+  const heldVersion = (index: number) =>
     serve.find((version) => holds(index, version));
-  const own = heldBy(pipeline);
-  if (own === undefined) return next;
-  const changing = indexes.find((index) => heldBy(index) !== serve[0]);
-  const isCovered = indexes.some(
-    (index) => index !== pipeline && heldBy(index) !== undefined,
+  const current = heldVersion(pipeline);
+  if (current === undefined) return preferred;
+  const updating = indexes.find((index) => heldVersion(index) !== serve[0]);
+  const isOtherWhole = indexes.some(
+    (index) => index !== pipeline && heldVersion(index) !== undefined,
   );
-  return changing === pipeline && isCovered ? next : [own];
+  return updating === pipeline && isOtherWhole ? preferred : [current];
 }
--- a/packages/placement/src/wanted_versions_test.ts
+++ b/packages/placement/src/wanted_versions_test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { wantedVersions } from "./wanted_versions.ts";
 
-/** What each of the model's pipelines holds, as names of versions. */
+/** Names of the versions that each of the model's pipelines holds. */
 type Held = readonly (readonly string[])[];
 
 function wantedOf(
@@ -16,11 +16,11 @@
   const holds = (pipeline: number, version: string) =>
     held[pipeline]?.includes(version) ?? false;
   const pipelines = held.length;
-  const facts = { ...options, isCovered, holds, pipelines };
-  return held.map((_, index) => wantedVersions(index, facts));
+  const allOptions = { ...options, isCovered, holds, pipelines };
+  return held.map((_, index) => wantedVersions(index, allOptions));
 }
 
-describe("versions with room beside each other", () => {
+describe("wanted versions with memory for two", () => {
   const options = { serve: ["v3", "v2", "v1"], versionsAtOnce: 2 };
 
   it("are the preferred ones", () => {
@@ -28,17 +28,17 @@
     expect(wantedOf([["v2"]], options)).toEqual([["v3", "v2"]]);
   });
 
-  it("keep the one that answers until a preferred one does", () => {
+  it("include the one in use until a preferred one is loaded", () => {
     expect(wantedOf([["v1"]], options)).toEqual([["v3", "v1"]]);
     expect(wantedOf([["v3", "v1"]], options)).toEqual([["v3", "v2"]]);
   });
 });
 
-describe("versions with room for one", () => {
+describe("wanted versions with memory for one", () => {
   const options = { serve: ["v2", "v1"], versionsAtOnce: 1 };
 
-  it("change one pipeline after the other", () => {
-    // Changed all at once, no pipeline would answer while v2 is loaded.
+  it("change one pipeline at a time", () => {
+    // If all changed at once, no pipeline would answer while v2 is loaded.
     const rows: [Held, Held][] = [
       [
         [["v1"], ["v1"], ["v1"]],
@@ -62,12 +62,12 @@
     }
   });
 
-  it("give up no last pipeline for one that is to be loaded", () => {
+  it("do not replace the version of the only complete pipeline", () => {
     expect(wantedOf([["v1"]], options)).toEqual([["v1"]]);
     expect(wantedOf([["v1"], []], options)).toEqual([["v1"], ["v2"]]);
   });
 
-  it("load the preferred one where nothing is held", () => {
+  it("are the preferred one for pipelines that hold nothing", () => {
     expect(wantedOf([[], []], options)).toEqual([["v2"], ["v2"]]);
   });
 });
