--- a/packages/placement/src/control_lease.ts
+++ b/packages/placement/src/control_lease.ts
@@ -79,7 +79,7 @@
   const times = options.times ?? DEFAULT_TIMES;
   let heldLease: HeldLeaseState | null = null;
   /** Version last read of another holder's lease, and when first read. */
-  let observed: { version: number; at: Moment } | null = null;
+  let observed: { version: number; firstReadAt: Moment } | null = null;
   let stopped = false;
   let currentStep: Promise<void> = Promise.resolve();
   let timer: NodeJS.Timeout | undefined;
@@ -132,12 +132,12 @@
     const isFree = lease.released || isEarlierIncarnation(lease);
     if (isFree) return acquire(lease.fencingNumber + 1, version);
     if (observed === null || observed.version !== version) {
-      observed = { version: version ?? 0, at: readMoment() };
+      observed = { version: version ?? 0, firstReadAt: readMoment() };
       return true;
     }
     // Clocks of instances are not compared: a lease has lapsed when its version
     // has not changed for its whole duration by the local clock.
-    if (surelyElapsedMs(observed.at) < lease.durationMs) return true;
+    if (surelyElapsedMs(observed.firstReadAt) < lease.durationMs) return true;
     return acquire(lease.fencingNumber + 1, version);
   }
 
--- a/packages/placement/src/engine_controller.ts
+++ b/packages/placement/src/engine_controller.ts
@@ -54,7 +54,7 @@
 }
 
 /** Result of one pass over an engine; `idle` if it may not be ordered. */
-type ReconcileOutcome = "idle" | "holds" | "retry";
+type ReconcileOutcome = "idle" | "reconciled" | "retry";
 
 /** Starts one task per engine, which orders it while the lease is held. */
 export function createEngineController(
@@ -94,7 +94,7 @@
       // ignores fencing numbers, most likely soon after a change, so each
       // confirmed order resets the interval.
       const isUnchanged =
-        outcome === "holds" && confirmed.get(engine.id) === previous;
+        outcome === "reconciled" && confirmed.get(engine.id) === previous;
       readBackMs = isUnchanged
         ? Math.min(readBackMs * 2, maxReadBackMs)
         : READ_BACK_INTERVAL_MS;
@@ -121,7 +121,7 @@
       if (!wanted) return "retry";
       if (state && holdsExactly(state, wanted)) {
         fleet.observe(state);
-        return "holds";
+        return "reconciled";
       }
       if (state && !isStillConfirmed(engine, { state, record })) {
         confirmed.delete(engine.id);
@@ -129,7 +129,7 @@
     }
     // The wanted state of an engine without roles depends on what it holds,
     // and an engine that did not answer may have restarted.
-    if (placer?.isUnread(engine.id)) await readState(engine);
+    if (placer?.needsRead(engine.id)) await readState(engine);
     const wanted = wantedOf(engine, record);
     return wanted ? order(engine, { wanted, record }) : "retry";
   }
@@ -138,7 +138,8 @@
     engine: EngineSettings,
     record: NoteRecord,
   ): WantedState | null {
-    if (placer?.places(engine.id)) return placer.wanted(engine.id, record);
+    if (placer?.isPlaced(engine.id))
+      return placer.wantedState(engine.id, record);
     return wantedState(engine, record);
   }
 
@@ -160,7 +161,7 @@
     observation: { readonly state: EngineState; readonly record: NoteRecord },
   ): boolean {
     const { state, record } = observation;
-    return placer?.places(engine.id) === true && keepsToNote(state, record);
+    return placer?.isPlaced(engine.id) === true && keepsToNote(state, record);
   }
 
   /**
@@ -198,7 +199,7 @@
     if (result.kind !== "fenced") placer?.observe(engine.id, null);
     if (result.kind === "not_sent" && result.refused) {
       setConfirmation(engine, { number: record.number, stopped: true });
-      return "holds";
+      return "reconciled";
     }
     const { kind, detail } = result;
     log.warn("order_failed", { engine: engine.id, kind, reason: detail });
@@ -213,7 +214,7 @@
     fleet.observe(state);
     if (!holdsExactly(state, wanted)) return "retry";
     setConfirmation(engine, { number: wanted.noteNumber, stopped: false });
-    return "holds";
+    return "reconciled";
   }
 
   function setConfirmation(
--- a/packages/placement/src/engine_controller_test.ts
+++ b/packages/placement/src/engine_controller_test.ts
@@ -84,7 +84,7 @@
   const reads = vi.spyOn(client, "readState");
   return {
     client,
-    take: acceptOrder,
+    acceptOrder,
     versions,
     reads: () => reads.mock.calls.length,
   };
@@ -159,7 +159,7 @@
     apply(record(2, []));
     await vi.advanceTimersByTimeAsync(50);
     expect(controller.confirmations()).toMatchObject([{ confirmed: 2 }]);
-    engine.take(oldOrder);
+    engine.acceptOrder(oldOrder);
     await vi.advanceTimersByTimeAsync(600);
     expect(engine.versions()).toEqual([]);
     expect(controller.confirmations()).toMatchObject([{ confirmed: 2 }]);
@@ -174,7 +174,7 @@
     hold(1);
     apply(record(2, []));
     await vi.advanceTimersByTimeAsync(50);
-    expect(engine.take(oldOrder).kind).toBe("fenced");
+    expect(engine.acceptOrder(oldOrder).kind).toBe("fenced");
     expect(engine.versions()).toEqual([]);
   });
 
@@ -263,7 +263,7 @@
     // An engine restarts with empty memory. Its accelerators are idle until it
     // is read back and ordered.
     const { engine, controller } = await startUntilQuiet();
-    engine.take({ ...oldOrder, noteNumber: 0, hold: [] });
+    engine.acceptOrder({ ...oldOrder, noteNumber: 0, hold: [] });
     await vi.advanceTimersByTimeAsync(1_000);
     expect(engine.versions()).toEqual([]);
     controller.recheck(["engine-7"]);
--- a/packages/placement/src/engine_loads.ts
+++ b/packages/placement/src/engine_loads.ts
@@ -14,19 +14,19 @@
 /** Running and finished loads of each engine. */
 export interface EngineLoads {
   /** Starts loads of missing weights, and aborts loads of any others. */
-  follow(engine: string, missing: readonly MissingWeights[]): void;
+  update(engine: string, missing: readonly MissingWeights[]): void;
   /** Whether the layers are loaded, but the engine does not report them yet. */
   isLoaded(engine: string, wanted: HeldLayers): boolean;
   /** Drops all loads of an engine whose memory was emptied by a restart. */
-  forget(engine: string): void;
+  clear(engine: string): void;
   /** Drops finished loads of layers that the engine reports as held. */
-  settle(engine: string, held: readonly HeldLayers[]): void;
+  dropHeld(engine: string, held: readonly HeldLayers[]): void;
   stop(): void;
 }
 
 interface Load {
   readonly wanted: HeldLayers;
-  readonly stopping: AbortController;
+  readonly abortController: AbortController;
   isDone: boolean;
 }
 
@@ -41,24 +41,24 @@
   /** Keeps the matching loads of an engine and aborts the others. */
   function retain(engine: string, isKept: (load: Load) => boolean): void {
     const all = loadsOf(engine);
-    for (const load of all) if (!isKept(load)) load.stopping.abort();
+    for (const load of all) if (!isKept(load)) load.abortController.abort();
     loads.set(engine, all.filter(isKept));
   }
 
   async function start(engine: string, missing: MissingWeights): Promise<void> {
     const { wanted, megabytes, priority } = missing;
-    const stopping = new AbortController();
-    const load: Load = { wanted, stopping, isDone: false };
+    const abortController = new AbortController();
+    const load: Load = { wanted, abortController, isDone: false };
     loads.set(engine, [...loadsOf(engine), load]);
     load.isDone = await options.loader.load(
       { engine, ...wanted, megabytes },
-      { signal: stopping.signal, priority },
+      { signal: abortController.signal, priority },
     );
     if (load.isDone) options.onLoaded(engine);
   }
 
   return {
-    follow(engine, missing) {
+    update(engine, missing) {
       const isWanted = ({ wanted }: Load) =>
         missing.some((needed) => isSameRange(needed.wanted, wanted));
       retain(engine, isWanted);
@@ -73,8 +73,8 @@
       loadsOf(engine).some(
         (load) => load.isDone && isSameRange(load.wanted, wanted),
       ),
-    forget: (engine) => retain(engine, () => false),
-    settle(engine, held) {
+    clear: (engine) => retain(engine, () => false),
+    dropHeld(engine, held) {
       retain(
         engine,
         (load) =>
--- a/packages/placement/src/engine_presence.ts
+++ b/packages/placement/src/engine_presence.ts
@@ -24,7 +24,7 @@
   /** Ids of the engines that may be given layers, sorted. */
   live(): readonly string[];
   /** Whether each engine has answered or was found lost at least once. */
-  isSettled(): boolean;
+  isDecided(): boolean;
 }
 
 interface Presence {
@@ -94,7 +94,7 @@
         .filter(([, presence]) => updateDecision(presence).isLive)
         .map(([engine]) => engine)
         .sort(),
-    isSettled: () =>
+    isDecided: () =>
       [...presences.values()].every(
         (presence) => updateDecision(presence).isLive !== null,
       ),
--- a/packages/placement/src/placed_state.ts
+++ b/packages/placement/src/placed_state.ts
@@ -41,7 +41,7 @@
 /** The engines of a domain under one note and plan. */
 export interface PlacedState {
   /** The complete state that an order to the engine contains. */
-  wanted(engine: string): WantedState;
+  wantedState(engine: string): WantedState;
   /** Weights to load from the weight store. */
   missing(engine: string): readonly MissingWeights[];
   /** Whether each pipeline holds its most preferred version. */
@@ -185,7 +185,7 @@
 
   return {
     isComplete: () => isPlanHeld,
-    wanted(engine) {
+    wantedState(engine) {
       const hold = [...layersToHold(engine)];
       const models = [...new Set(hold.map(({ model }) => model))];
       const adapters = models.flatMap((model) =>
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -38,11 +38,11 @@
 /** Decides the layers of engines without roles. */
 export interface Placer {
   /** Whether the placer decides the engine's layers. */
-  places(engine: string): boolean;
+  isPlaced(engine: string): boolean;
   /** Whether the engine's state must be read before it is ordered. */
-  isUnread(engine: string): boolean;
+  needsRead(engine: string): boolean;
   /** The state to order now; `null` until the engine is read or lost. */
-  wanted(engine: string, record: NoteRecord): WantedState | null;
+  wantedState(engine: string, record: NoteRecord): WantedState | null;
   /**
    * Records the engine's state, or `null` when it does not answer. `isOrdered`
    * marks a state that an engine reports in reply to an order.
@@ -133,7 +133,7 @@
 
   /** Makes a new plan if its inputs changed; orders continue meanwhile. */
   async function replan(record: NoteRecord): Promise<void> {
-    if (isPlanning || (!plan && !presence.isSettled())) return;
+    if (isPlanning || (!plan && !presence.isDecided())) return;
     const live = new Set(presence.live());
     const models = listPlacedModels(record, settings);
     const key = JSON.stringify([[...live], models]);
@@ -175,7 +175,7 @@
 
   function updateLoads({ missing }: PlacedState): void {
     for (const engine of engineIds) {
-      loads.follow(engine, presence.answers(engine) ? missing(engine) : []);
+      loads.update(engine, presence.answers(engine) ? missing(engine) : []);
     }
   }
 
@@ -196,7 +196,7 @@
   /** Notifies listeners of engines whose wanted state has changed. */
   function notifyChanged(state: PlacedState): void {
     const changed = engineIds.filter((engine) => {
-      const wanted = JSON.stringify(state.wanted(engine));
+      const wanted = JSON.stringify(state.wantedState(engine));
       const hasChanged = lastNotified.get(engine) !== wanted;
       lastNotified.set(engine, wanted);
       return hasChanged;
@@ -209,14 +209,14 @@
   }
 
   return {
-    places: (engine) => placedEngines.has(engine),
-    wanted(engine, record) {
+    isPlaced: (engine) => placedEngines.has(engine),
+    wantedState(engine, record) {
       resetOnLeaseChange(lease.held()?.fencingNumber ?? null);
-      if (states.has(engine)) return stateFor(record).wanted(engine);
-      const isLost = presence.isSettled() && !presence.live().includes(engine);
-      return isLost ? stateFor(record).wanted(engine) : null;
+      if (states.has(engine)) return stateFor(record).wantedState(engine);
+      const isLost = presence.isDecided() && !presence.live().includes(engine);
+      return isLost ? stateFor(record).wantedState(engine) : null;
     },
-    isUnread: (engine) =>
+    needsRead: (engine) =>
       placedEngines.has(engine) &&
       !(states.has(engine) && presence.answers(engine)),
     observe(engine, state, { isOrdered } = { isOrdered: false }) {
@@ -227,13 +227,13 @@
       const previous = states.get(engine);
       const isRestarted =
         previous && previous.incarnation !== state.incarnation;
-      if (isRestarted) loads.forget(engine);
+      if (isRestarted) loads.clear(engine);
       // The order listed layers that the engine held before it restarted. The
       // engine repeats them in its reply, but its memory has no weights.
       const isEmptied = isRestarted && isOrdered;
       const held = isEmptied ? [] : state.held;
       states.set(engine, { ...state, held });
-      loads.settle(engine, held);
+      loads.dropHeld(engine, held);
       if (JSON.stringify(previous?.held) === JSON.stringify(held)) return;
       cachedState = null;
     },
--- a/packages/placement/src/placer_test.ts
+++ b/packages/placement/src/placer_test.ts
@@ -58,12 +58,12 @@
 }
 
 /** A weight store that serves loads at once, or on demand while stopped. */
-function createStore(onAsked: (engine: string) => void = () => {}) {
+function createStore(onLoad: (engine: string) => void = () => {}) {
   const waiting: (() => void)[] = [];
-  const asked: string[] = [];
+  const loadRequests: string[] = [];
   let isDown = false;
   return {
-    asked,
+    loadRequests,
     stop: () => (isDown = true),
     /** Serves the first `count` waiting loads. */
     serve(count: number) {
@@ -74,8 +74,8 @@
       for (const serve of waiting.splice(0)) serve();
     },
     load({ engine, version }: { engine: string; version: string }) {
-      asked.push(`${engine} ${version}`);
-      onAsked(engine);
+      loadRequests.push(`${engine} ${version}`);
+      onLoad(engine);
       if (!isDown) return Promise.resolve(true);
       return new Promise<boolean>((resolve) =>
         waiting.push(() => resolve(true)),
@@ -133,7 +133,7 @@
         since: { monotonic: performance.now(), wall: Date.now() },
       };
     },
-    lose: () => (held = null),
+    loseLease: () => (held = null),
     apply(next: NoteRecord) {
       record = next;
       for (const listener of listeners) listener(next);
@@ -146,15 +146,21 @@
   const engines = createEngines(count, accelerator);
   const client = createOrderedEngines(engines);
   /** Layers that the engine held at the start of each load. */
-  const heldWhenAsked: string[] = [];
+  const heldAtLoadStart: string[] = [];
   const store = createStore((engine) => {
-    heldWhenAsked.push(client.held(engine).join(" "));
+    heldAtLoadStart.push(client.held(engine).join(" "));
   });
   const record = note(1, "v1");
   const instance = startInstance(engines, { client, record, store });
   instance.hold(1);
   await advance(3 * SECOND);
-  return { engines, client, store, heldWhenAsked, ...instance };
+  return {
+    engines,
+    client,
+    store,
+    heldAtLoadStart,
+    ...instance,
+  };
 }
 
 const advance = (durationMs: number) => vi.advanceTimersByTimeAsync(durationMs);
@@ -206,7 +212,9 @@
     store.stop();
     apply(note(2, "v2", "v1"));
     await advance(3 * SECOND);
-    expect(store.asked.filter((line) => line.endsWith("v2"))).toHaveLength(4);
+    expect(
+      store.loadRequests.filter((line) => line.endsWith("v2")),
+    ).toHaveLength(4);
     store.serve(3);
     await advance(3 * SECOND);
     expect(heldBy(client, engines).join(" ")).not.toContain("v2");
@@ -264,7 +272,9 @@
     store.stop();
     apply(withDrafts(note(2, "v1")));
     await advance(3 * SECOND);
-    expect(store.asked.filter((line) => line.endsWith("d1"))).not.toEqual([]);
+    expect(
+      store.loadRequests.filter((line) => line.endsWith("d1")),
+    ).not.toEqual([]);
     const meanwhile = heldBy(client, engines);
     expect(meanwhile.every((held) => held.startsWith("assist/v1"))).toBe(true);
     store.start();
@@ -279,10 +289,10 @@
     const domain = await startDomain(4, "small");
     domain.apply(note(2, "v2", "v1"));
     await advance(3 * SECOND);
-    const before = domain.heldWhenAsked.length;
+    const before = domain.heldAtLoadStart.length;
     domain.apply(note(3, "v3", "v2", "v1"));
     await advance(3 * SECOND);
-    const held = domain.heldWhenAsked.slice(before);
+    const held = domain.heldAtLoadStart.slice(before);
     expect(held).toHaveLength(4);
     for (const versions of held) expect(versions).not.toContain("v1");
     for (const versions of heldBy(domain.client, domain.engines)) {
@@ -297,13 +307,13 @@
     // restart would move weights; if never, they would stay missing.
     const { engines, client, store } = await startDomain(5);
     const before = heldBy(client, engines);
-    const loads = store.asked.length;
+    const loads = store.loadRequests.length;
     client.silence("engine-1");
     await advance(8 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
-    expect(store.asked).toHaveLength(loads);
+    expect(store.loadRequests).toHaveLength(loads);
     await advance(5 * SECOND);
-    expect(store.asked.length).toBeGreaterThan(loads);
+    expect(store.loadRequests.length).toBeGreaterThan(loads);
   });
 
   it("gets no layers while it restarts repeatedly", async () => {
@@ -312,38 +322,38 @@
     const { client, store } = await startDomain(6);
     client.silence("engine-1");
     await advance(15 * SECOND);
-    const loads = store.asked.length;
+    const loads = store.loadRequests.length;
     for (let round = 0; round < 5; round++) {
       client.bringBack("engine-1", { isRestarted: true });
       await advance(10 * SECOND);
       client.silence("engine-1");
       await advance(10 * SECOND);
     }
-    expect(store.asked).toHaveLength(loads);
+    expect(store.loadRequests).toHaveLength(loads);
     client.bringBack("engine-1", { isRestarted: true });
     await advance(90 * SECOND);
-    expect(store.asked.length).toBeGreaterThan(loads);
+    expect(store.loadRequests.length).toBeGreaterThan(loads);
   });
 
   it("reloads its own layers after a quick restart", async () => {
     const { client, store } = await startDomain(4);
     const before = client.held("engine-1");
-    const loads = store.asked.length;
+    const loads = store.loadRequests.length;
     client.bringBack("engine-1", { isRestarted: true });
     await advance(3 * SECOND);
     expect(client.held("engine-1")).toEqual(before);
-    expect(store.asked.slice(loads)).toEqual(["engine-1 v1"]);
+    expect(store.loadRequests.slice(loads)).toEqual(["engine-1 v1"]);
   });
 
   it("reloads its weights if ordered before its restart is seen", async () => {
     // An engine restarts, and a note is ordered before its state is read. The
     // order lists layers that the engine held, but its memory is empty.
     const { client, store, apply } = await startDomain(4);
-    const loads = store.asked.length;
+    const loads = store.loadRequests.length;
     client.bringBack("engine-1", { isRestarted: true });
     apply(note(2, "v1"));
     await advance(3 * SECOND);
-    expect(store.asked.slice(loads)).toEqual(["engine-1 v1"]);
+    expect(store.loadRequests.slice(loads)).toEqual(["engine-1 v1"]);
     expect(client.held("engine-1")).toEqual(["assist/v1:0-2"]);
   });
 
@@ -370,7 +380,7 @@
     await advance(13 * SECOND);
     expect(domain.placer.plan()?.movedMegabytes).toBeGreaterThan(0);
     const orders = client.orders.length;
-    domain.lose();
+    domain.loseLease();
     await advance(SECOND);
     const next = startInstance(engines, { client, record: note(1, "v1") });
     next.hold(2);
@@ -394,14 +404,14 @@
     const domain = await startDomain(6);
     const { engines, client } = domain;
     const before = heldBy(client, engines);
-    domain.lose();
+    domain.loseLease();
     const store = createStore();
     const record = note(1, "v1");
     const next = startInstance(engines, { client, record, store });
     next.hold(2);
     await advance(5 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
-    expect(store.asked).toEqual([]);
+    expect(store.loadRequests).toEqual([]);
   });
 
   it("is not undone when the earlier holder regains the lease", async () => {
@@ -410,7 +420,7 @@
     // plan would move them back.
     const domain = await startDomain(5);
     const { engines, client, store } = domain;
-    domain.lose();
+    domain.loseLease();
     await advance(SECOND);
     client.silence("engine-1");
     const next = startInstance(engines, { client, record: note(1, "v1") });
@@ -418,13 +428,13 @@
     await advance(15 * SECOND);
     client.bringBack("engine-1", { isRestarted: true });
     await advance(40 * SECOND);
-    next.lose();
+    next.loseLease();
     const before = heldBy(client, engines);
     expect(before).toContain("");
-    const loads = store.asked.length;
+    const loads = store.loadRequests.length;
     domain.hold(3);
     await advance(5 * SECOND);
     expect(heldBy(client, engines)).toEqual(before);
-    expect(store.asked).toHaveLength(loads);
+    expect(store.loadRequests).toHaveLength(loads);
   });
 });
