--- a/packages/membership/src/acknowledgements.ts
+++ b/packages/membership/src/acknowledgements.ts
@@ -1,17 +1,18 @@
-/** Waits for the answers to probes. */
+/** Matches answers to the probes in flight. */
 
-/** How an answer came back; `null` when none came in time. */
-export type Answer = "direct" | "through_others" | null;
+/** Route of the answer to a probe; `null` if none arrived in time. */
+export type AnswerRoute = "direct" | "through_others" | null;
 
 /** Creates the table of probes in flight. */
 export function createAcknowledgements() {
   const waiting = new Map<
     number,
-    { readonly id: string; readonly settle: (answer: Answer) => void }
+    { readonly id: string; readonly settle: (answer: AnswerRoute) => void }
   >();
   let sequence = 0;
 
   return {
+    /** Returns the sequence number for a new probe. */
     next(): number {
       sequence += 1;
       return sequence;
@@ -20,10 +21,10 @@
     wait(
       sequence: number,
       { id, timeoutMs }: { readonly id: string; readonly timeoutMs: number },
-    ): Promise<Answer> {
+    ): Promise<AnswerRoute> {
       return new Promise((resolve) => {
         const timer = setTimeout(() => settle(null), timeoutMs);
-        function settle(answer: Answer): void {
+        function settle(answer: AnswerRoute): void {
           clearTimeout(timer);
           waiting.delete(sequence);
           resolve(answer);
@@ -32,17 +33,17 @@
       });
     },
     /**
-     * Takes an answer in. One from another instance than the one that was
-     * asked counts for nothing: a new process may listen at the address.
+     * Resolves the wait for an answer. An answer from another instance than
+     * the probed one is ignored, as a new process may listen at the address.
      */
     settle(
       sequence: number,
-      { id, answer }: { readonly id: string; readonly answer: Answer },
+      { id, answer }: { readonly id: string; readonly answer: AnswerRoute },
     ): void {
-      const found = waiting.get(sequence);
-      if (found?.id === id) found.settle(answer);
+      const waiter = waiting.get(sequence);
+      if (waiter?.id === id) waiter.settle(answer);
     },
-    /** Ends all waits, for instance at the end of the process. */
+    /** Resolves all waits with `null`, as on shutdown. */
     cancel(): void {
       for (const { settle } of [...waiting.values()]) settle(null);
     },
--- a/packages/membership/src/address_book.ts
+++ b/packages/membership/src/address_book.ts
@@ -1,15 +1,15 @@
-/** Addresses at which an instance may or may not be. */
+/** Addresses to ping in order to join or rejoin other instances. */
 import type { Address } from "@rosemarypin/schemas";
 import { pause } from "@rosemarypin/timing";
 import type { MemberTable } from "./member_table.ts";
 
-const HINTS_EVERY_MS = 30_000;
-const MOST_HINTS = 1_024;
+const HINT_REFRESH_INTERVAL_MS = 30_000;
+const MAX_HINTS = 1_024;
 
-/** Reads addresses to try; must not reject. */
+/** Reads addresses that may be those of instances; must not reject. */
 export type ReadHints = () => Promise<readonly Address[]>;
 
-/** Creates the book of one instance and reads hints until the signal. */
+/** Creates the address book and refreshes hints until `signal` aborts. */
 export function createAddressBook(options: {
   readonly table: MemberTable;
   readonly own: Address;
@@ -23,22 +23,22 @@
 
   async function readHints(): Promise<void> {
     while (options.hints && !signal.aborted) {
-      hints = (await options.hints()).slice(0, MOST_HINTS);
-      await pause(HINTS_EVERY_MS, signal);
+      hints = (await options.hints()).slice(0, MAX_HINTS);
+      await pause(HINT_REFRESH_INTERVAL_MS, signal);
     }
   }
 
   return {
-    /** Seeds and hints that are not known to live, and the dead. */
+    /** Seeds and hints without an active member, and addresses of the dead. */
     strangers(): readonly Address[] {
-      const living = new Set([keyOf(own)]);
+      const activeKeys = new Set([keyOf(own)]);
       const dead: Address[] = [];
       for (const { record, status } of table.allNews()) {
         if (status === "dead") dead.push(record.peer);
-        else if (status !== "left") living.add(keyOf(record.peer));
+        else if (status !== "left") activeKeys.add(keyOf(record.peer));
       }
-      const isUnknown = (address: Address) => !living.has(keyOf(address));
-      return [...seeds, ...hints].filter(isUnknown).concat(dead);
+      const isInactive = (address: Address) => !activeKeys.has(keyOf(address));
+      return [...seeds, ...hints].filter(isInactive).concat(dead);
     },
   };
 }
--- a/packages/membership/src/advertised_address_test.ts
+++ b/packages/membership/src/advertised_address_test.ts
@@ -26,7 +26,7 @@
   return address;
 }
 
-/** Forwards datagrams, as an address translation does; the sender is lost. */
+/** Forwards datagrams as address translation does, without the sender. */
 async function translate(target: Address): Promise<Address> {
   const { socket, address } = await bind();
   sockets.push(socket);
@@ -37,14 +37,14 @@
 }
 
 /**
- * An instance runs behind address translation and told peers the address that
- * it binds. They answered to that address, where nobody hears them, and held
- * the instance for dead.
+ * An instance behind address translation must publish the translated address.
+ * If it published the address that it binds, answers of peers would be lost
+ * and they would declare the instance dead.
  */
-it("is reached where it is advertised, not where it listens", async () => {
+it("membership publishes its advertised address, not the bound", async () => {
   const listen = await freeAddress();
   const advertised = await translate(listen);
-  const other = await freeAddress();
+  const otherAddress = await freeAddress();
   const common = { failureDomain: "a", incarnation: 1 };
   running.push(
     await createMembership({
@@ -57,12 +57,13 @@
     await createMembership({
       ...common,
       id: "entry-2",
-      peer: other,
+      peer: otherAddress,
       seeds: [{ id: "entry-1", failureDomain: "a", address: advertised }],
     }),
   );
   await vi.waitUntil(
-    () => running.every((each) => each.peers()[0]?.state === "alive"),
+    () =>
+      running.every((membership) => membership.peers()[0]?.state === "alive"),
     { timeout: 10_000 },
   );
   expect(running[1]?.peers()[0]?.record.peer).toEqual(advertised);
--- a/packages/membership/src/byte_budget.ts
+++ b/packages/membership/src/byte_budget.ts
@@ -1,30 +1,31 @@
-/** Bounds the traffic that may wait. */
+/** Limits the rate of traffic that can be deferred (a token bucket). */
 
 export interface ByteBudget {
-  /** Takes `bytes` if they are there; returns whether they were. */
+  /** Consumes `bytes` if available; returns whether they were. */
   take(bytes: number): boolean;
 }
 
-/** Creates a budget that fills at a rate, up to `burstBytes`. */
+/** Creates a budget that refills at a constant rate, up to `burstBytes`. */
 export function createByteBudget(options: {
   readonly bytesPerSecond: number;
   readonly burstBytes: number;
-  /** What is there at the start, beyond the burst, and for how long. */
+  /** Initial budget, which may exceed the burst for `forMs`. */
   readonly initial?: { readonly bytes: number; readonly forMs: number };
 }): ByteBudget {
   const { burstBytes, initial } = options;
-  let left = initial?.bytes ?? burstBytes;
-  let filledAt = performance.now();
-  const initialUntil = filledAt + (initial?.forMs ?? 0);
+  let availableBytes = initial?.bytes ?? burstBytes;
+  let refilledAt = performance.now();
+  const initialUntil = refilledAt + (initial?.forMs ?? 0);
   return {
     take(bytes) {
       const now = performance.now();
-      const filled = ((now - filledAt) / 1_000) * options.bytesPerSecond;
-      const most = now < initialUntil ? Math.max(left, burstBytes) : burstBytes;
-      left = Math.min(most, left + filled);
-      filledAt = now;
-      if (left < bytes) return false;
-      left -= bytes;
+      const refillBytes = ((now - refilledAt) / 1_000) * options.bytesPerSecond;
+      const capacityBytes =
+        now < initialUntil ? Math.max(availableBytes, burstBytes) : burstBytes;
+      availableBytes = Math.min(capacityBytes, availableBytes + refillBytes);
+      refilledAt = now;
+      if (availableBytes < bytes) return false;
+      availableBytes -= bytes;
       return true;
     },
   };
--- a/packages/membership/src/datagram_answers.ts
+++ b/packages/membership/src/datagram_handler.ts
@@ -1,4 +1,4 @@
-/** What an instance does with each kind of datagram. */
+/** Handles received datagrams by method. */
 import type {
   Address,
   MemberNews,
@@ -11,11 +11,11 @@
 import type { TableSync } from "./table_sync.ts";
 import type { DatagramBody } from "./wire.ts";
 
-const SYNC_EVERY_MS = 5_000;
-/** A new instance syncs faster until its table had time to fill. */
-const NEW_SYNC_EVERY_MS = 500;
+const SYNC_INTERVAL_MS = 5_000;
+/** A new instance syncs more often until its table has had time to fill. */
+const NEW_INSTANCE_SYNC_INTERVAL_MS = 500;
 
-export interface DatagramAnswersOptions {
+export interface DatagramHandlerOptions {
   readonly table: MemberTable;
   readonly sync: TableSync;
   readonly acknowledgements: Acknowledgements;
@@ -25,18 +25,18 @@
     target: Address,
     news?: readonly MemberNews[],
   ) => void;
-  /** Sends just these records; they fill the datagram. */
+  /** Sends a datagram with these records only, as they fill it. */
   readonly sendPortion: (news: readonly MemberNews[], target: Address) => void;
   readonly drop: (reason: string) => void;
 }
 
-/** Creates the answers of one instance. */
-export function createDatagramAnswers(options: DatagramAnswersOptions) {
+/** Creates the datagram handler of an instance. */
+export function createDatagramHandler(options: DatagramHandlerOptions) {
   const { table, sync, acknowledgements, send } = options;
   const relays = createRelays();
   let syncedAt = -Infinity;
 
-  /** Who is suspected is told so with the answer, and can refute it. */
+  /** News that makes a suspected peer refute the suspicion. */
   function suspicionsOf(peerId: string): MemberNews[] {
     const news = table.news(peerId);
     return news && news.status !== "alive" ? [news] : [];
@@ -60,13 +60,13 @@
     },
   ): void {
     const { record, about } = from;
-    const relayed = relays.take(sequence);
-    if (relayed) return passAnswerOn(record, relayed);
+    const relay = relays.take(sequence);
+    if (relay) return forwardAnswer(record, relay);
     const answer = about === undefined ? "direct" : "through_others";
     acknowledgements.settle(sequence, { id: about ?? record.id, answer });
   }
 
-  function passAnswerOn(
+  function forwardAnswer(
     { id }: MemberRecord,
     relayed: { readonly asker: Address; readonly sequence: number },
   ): void {
@@ -77,13 +77,15 @@
 
   function syncWith(peer: Address): void {
     const now = performance.now();
-    const everyMs = options.isNew() ? NEW_SYNC_EVERY_MS : SYNC_EVERY_MS;
-    if (now - syncedAt < everyMs) return;
+    const intervalMs = options.isNew()
+      ? NEW_INSTANCE_SYNC_INTERVAL_MS
+      : SYNC_INTERVAL_MS;
+    if (now - syncedAt < intervalMs) return;
     syncedAt = now;
     send({ method: "sync", digests: sync.digests() }, peer);
   }
 
-  function answerKind({ method, params }: PeerDatagram): void {
+  function handleByMethod({ method, params }: PeerDatagram): void {
     const { record } = params.from;
     const { id, peer } = record;
     switch (method) {
@@ -98,8 +100,8 @@
       case "ack":
         return acknowledge(params.sequence, { record, about: params.about });
       case "sync":
-        for (const portion of sync.answers(params.digests)) {
-          options.sendPortion(portion, peer);
+        for (const batch of sync.answers(params.digests)) {
+          options.sendPortion(batch, peer);
         }
         return;
       case "news":
@@ -108,9 +110,9 @@
   }
 
   return {
-    /** Answers a datagram whose records have been taken in. */
+    /** Answers a datagram whose records have been merged into the table. */
     answer(datagram: PeerDatagram): void {
-      answerKind(datagram);
+      handleByMethod(datagram);
       if (datagram.method === "sync") return;
       const { hash, from } = datagram.params;
       if (hash !== sync.hash()) syncWith(from.record.peer);
--- a/packages/membership/src/datagram_transport.ts
+++ b/packages/membership/src/datagram_transport.ts
@@ -1,4 +1,4 @@
-/** How datagrams get from one instance to another. */
+/** Transport of datagrams between instances. */
 import { createSocket } from "node:dgram";
 import { once } from "node:events";
 import type { Address } from "@rosemarypin/schemas";
@@ -6,10 +6,10 @@
 
 const log = createLogger("membership");
 
-/** Sends datagrams that may be lost, delayed, doubled or put out of order. */
+/** Sends datagrams, which may be lost, delayed, duplicated or reordered. */
 export interface DatagramTransport {
   send(datagram: Uint8Array, target: Address): void;
-  /** Sets the one receiver. */
+  /** Sets the receiver of all datagrams. */
   onDatagram(receiver: (datagram: Uint8Array) => void): void;
   close(): Promise<void>;
 }
@@ -21,14 +21,14 @@
   const socket = createSocket(address.host.includes(":") ? "udp6" : "udp4");
   socket.bind(address.port, address.host);
   await once(socket, "listening");
-  // A datagram that cannot leave (no route, full buffer) is a lost datagram;
-  // without a listener the error would end the process.
+  // A datagram that cannot be sent (no route, full buffer) counts as lost.
+  // Without a listener the error would end the process.
   socket.on("error", (error) =>
     log.warn("socket_error", { reason: error.message }),
   );
-  const underWay = new Set<Promise<void>>();
+  const pendingSends = new Set<Promise<void>>();
 
-  /** Resolves once the datagram is on its way, or cannot be sent. */
+  /** Resolves once the datagram is sent or has failed. */
   function sendOne(datagram: Uint8Array, target: Address): Promise<void> {
     return new Promise((resolve) => {
       socket.send(datagram, target.port, target.host, (error) => {
@@ -41,17 +41,17 @@
   return {
     send(datagram, target) {
       const sending = sendOne(datagram, target);
-      underWay.add(sending);
-      void sending.then(() => underWay.delete(sending));
+      pendingSends.add(sending);
+      void sending.then(() => pendingSends.delete(sending));
     },
     onDatagram(receiver) {
       socket.on("message", receiver);
     },
-    // Sending looks the address up first, even a numeric one, and a socket
-    // that was closed meanwhile drops the datagram: the goodbye was never
-    // sent, and peers could only guess that the instance had ended.
+    // `send` resolves the address asynchronously, even a numeric one, and
+    // drops the datagram if the socket is closed meanwhile. Without this wait
+    // the goodbye would be lost and peers would only suspect the instance.
     async close() {
-      await Promise.all(underWay);
+      await Promise.all(pendingSends);
       socket.close();
       await once(socket, "close");
     },
--- a/packages/membership/src/dissemination.ts
+++ b/packages/membership/src/dissemination.ts
@@ -1,58 +1,59 @@
-/** Chooses which records go along with a datagram. */
+/** Chooses the records that are piggybacked on a datagram. */
 import type { MemberNews } from "@rosemarypin/schemas";
 import type { ByteBudget } from "./byte_budget.ts";
 import type { MemberTable } from "./member_table.ts";
 
-/** Records that one datagram carries besides what it is for. */
-const BYTES_ALONG = 400;
+/** Limit for records that a datagram carries in addition to its purpose. */
+const MAX_PIGGYBACK_BYTES = 400;
 
-/** How often a record is sent on before others are left to spread it. */
+/** Kind of a change, which decides how often its record is sent. */
 export type Urgency = "liveness" | "shared_state";
 
 export interface Dissemination {
-  /** Marks a record as changed. */
+  /** Queues the record of a member that has changed. */
   enqueue(id: string, urgency: Urgency): void;
-  /** Records for the next datagram, those sent least often first. */
+  /** Records for the next datagram, those with most sends left first. */
   take(): MemberNews[];
 }
 
-/** Creates the queue of records that changed lately. */
+/** Creates an empty queue of changed records. */
 export function createDissemination(options: {
   readonly table: MemberTable;
   readonly budgets: Readonly<Record<Urgency, ByteBudget>>;
 }): Dissemination {
   const { table, budgets } = options;
-  /** One entry for each record at most. */
+  /** Sends left and urgency of each changed record, by member id. */
   const queue = new Map<string, { left: number; urgency: Urgency }>();
 
   /**
-   * News that each holder sends on about log(n) times reaches all with high
-   * probability. Shared state goes once and leaves the rest to the syncs, so
-   * that a note change of the whole fleet costs little.
+   * Number of times that a record is sent. News that each receiver forwards
+   * about log(n) times reaches all with high probability. Shared state is sent
+   * once and otherwise left to table syncs, so that a note change of the whole
+   * fleet causes little traffic.
    */
-  function sends(urgency: Urgency): number {
+  function transmissionLimit(urgency: Urgency): number {
     if (urgency === "shared_state") return 1;
     return 4 * Math.ceil(Math.log10(table.size() + 2));
   }
 
   return {
     enqueue(id, urgency) {
-      const before = queue.get(id);
-      if (before?.urgency === "liveness" && urgency !== "liveness") return;
-      queue.set(id, { left: sends(urgency), urgency });
+      const queued = queue.get(id);
+      if (queued?.urgency === "liveness" && urgency !== "liveness") return;
+      queue.set(id, { left: transmissionLimit(urgency), urgency });
     },
     take() {
       const chosen: MemberNews[] = [];
-      let room = BYTES_ALONG;
-      for (const [id, entry] of mostLeftFirst()) {
+      let bytesLeft = MAX_PIGGYBACK_BYTES;
+      for (const [id, entry] of leastSentFirst()) {
         const sized = table.sized(id);
         if (!sized) {
           queue.delete(id);
           continue;
         }
-        if (sized.bytes > room) break;
+        if (sized.bytes > bytesLeft) break;
         if (!budgets[entry.urgency].take(sized.bytes)) break;
-        room -= sized.bytes;
+        bytesLeft -= sized.bytes;
         chosen.push(sized.news);
         entry.left -= 1;
         if (entry.left === 0) queue.delete(id);
@@ -61,7 +62,7 @@
     },
   };
 
-  function mostLeftFirst() {
+  function leastSentFirst() {
     return [...queue].sort(([, a], [, b]) => b.left - a.left);
   }
 }
--- a/packages/membership/src/goodbye_test.ts
+++ b/packages/membership/src/goodbye_test.ts
@@ -19,12 +19,11 @@
 }
 
 /**
- * An instance ends by a planned stop, and its address is taken by another
- * program. Its goodbye was handed to the socket and dropped, because the
- * socket was closed in the same turn. A recall then waited for the instance
- * until the contact allowance, an hour, had passed.
+ * Closing the socket in the same turn as the send drops the goodbye of a
+ * planned stop. If another program then takes the address, a recall waits for
+ * the instance until its time without contact, an hour, has passed.
  */
-it("tells peers of a planned stop before the socket closes", async () => {
+it("membership sends its goodbye before the socket closes", async () => {
   const addresses = [await freeAddress(), await freeAddress()];
   const ids = ["entry-1", "entry-2"];
   const seeds = ids.flatMap((id, index) => {
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -1,4 +1,4 @@
-/** What is known of each instance, and which of two pieces of news is newer. */
+/** The members known to an instance, and which of two news of one prevails. */
 import {
   type MemberNews,
   type MemberRecord,
@@ -8,35 +8,35 @@
 import xxhash from "xxhash-wasm";
 import { newsBytes } from "./wire.ts";
 
-/** Buckets of the table's digest: two or three records at 340 instances. */
+/** Buckets of the table's digest; 340 instances give 2 or 3 records each. */
 export const BUCKETS = 128;
-/** More records than this are refused, so that memory stays bounded. */
-const LARGEST_TABLE = 4_096;
-/** How long a goodbye is remembered; old datagrams are long gone then. */
-const FORGET_LEFT_AFTER_MS = 15 * 60_000;
+/** Further records are refused, so that memory stays bounded. */
+const MAX_RECORDS = 4_096;
+/** Retention of a goodbye, by the end of which no old datagram can arrive. */
+const LEFT_RETENTION_MS = 15 * 60_000;
 
 const { h32 } = await xxhash();
 
-/** Liveness as this instance judges it by its own clock. */
+/** Liveness of a member as this instance reports it. */
 export type MemberState = "alive" | "suspect" | "left";
 
-/** Whether an instance answers this one itself, or only a third one. */
+/** Route by which a member answers probes; `none` if it does not answer. */
 export type Reach = "direct" | "through_others" | "none";
 
-/** A record with the time it last moved, by this instance's clock. */
+/** A member's record with its state as seen by this instance. */
 export interface Member {
   readonly record: MemberRecord;
   readonly state: MemberState;
-  /** `performance.now()` at the last news of the instance. */
+  /** `performance.now()` when news of the member was last received. */
   readonly heardAt: number;
-  /** How the instance can be reached from here; absent until it is known. */
+  /** Route by which the member is reachable; absent before the first probe. */
   readonly reach?: Reach;
 }
 
 interface Entry {
   news: MemberNews;
   heardAt: number;
-  /** When the status last changed here. */
+  /** `performance.now()` when the status last changed in this table. */
   changedAt: number;
   reach: Reach | undefined;
   bytes: number;
@@ -45,33 +45,34 @@
 }
 
 /**
- * A restart on the same address has a later incarnation and replaces all
- * that was known of the old process; a goodbye is final for its incarnation.
+ * Whether `next` is newer than `current`. The record of a restarted process has
+ * a later incarnation and replaces that of the old one; a goodbye is final for
+ * its incarnation.
  */
-export function isNewer(next: MemberRecord, known: MemberRecord): boolean {
-  if (next.incarnation !== known.incarnation) {
-    return next.incarnation > known.incarnation;
+export function isNewer(next: MemberRecord, current: MemberRecord): boolean {
+  if (next.incarnation !== current.incarnation) {
+    return next.incarnation > current.incarnation;
   }
-  if (known.left) return false;
+  if (current.left) return false;
   if (next.left) return true;
-  return next.revision > known.revision;
+  return next.revision > current.revision;
 }
 
-/** A worse status prevails over a better one of the same revision. */
-function supersedes(next: MemberNews, known: MemberNews): boolean {
-  if (isNewer(next.record, known.record)) return true;
-  const same =
-    next.record.incarnation === known.record.incarnation &&
-    next.record.revision === known.record.revision;
-  if (!same || known.record.left) return false;
-  return rank(next.status) > rank(known.status);
+/** Whether `next` prevails; at the same revision the worse status does. */
+function supersedes(next: MemberNews, current: MemberNews): boolean {
+  if (isNewer(next.record, current.record)) return true;
+  const isSameRevision =
+    next.record.incarnation === current.record.incarnation &&
+    next.record.revision === current.record.revision;
+  if (!isSameRevision || current.record.left) return false;
+  return rank(next.status) > rank(current.status);
 }
 
 function rank(status: MemberStatus): number {
   return memberStatuses.indexOf(status);
 }
 
-/** An instance that has ended, as far as is known. */
+/** Whether the status means that the member is taken to have ended. */
 export function hasEnded(status: MemberStatus): boolean {
   return status === "dead" || status === "left";
 }
@@ -79,68 +80,68 @@
 /** Creates an empty table. */
 export function createMemberTable(options: {
   /**
-   * How long a silent instance is remembered. It may be cut off and still
-   * serve, so this has to be longer than it may serve without contact.
+   * Retention of a dead member. It may be partitioned and still serve, so this
+   * must exceed the time that an instance may serve without contact.
    */
   readonly forgetSilentAfterMs: number;
 }) {
   const entries = new Map<string, Entry>();
-  /** Kept until the table changes. */
-  let knownHashes: Uint32Array | null = null;
+  /** Result of `computeHashes`; `null` after a change of the table. */
+  let cachedHashes: Uint32Array | null = null;
 
-  function view({ news, heardAt, reach }: Entry): Member {
+  function toMember({ news, heardAt, reach }: Entry): Member {
     const { record, status } = news;
     const state = status === "dead" ? "suspect" : status;
     return { record, state, heardAt, ...(reach ? { reach } : {}) };
   }
 
-  function isForgotten({ news, changedAt }: Entry): boolean {
-    const age = performance.now() - changedAt;
-    if (news.status === "left") return age > FORGET_LEFT_AFTER_MS;
-    return news.status === "dead" && age > options.forgetSilentAfterMs;
+  function isExpired({ news, changedAt }: Entry): boolean {
+    const ageMs = performance.now() - changedAt;
+    if (news.status === "left") return ageMs > LEFT_RETENTION_MS;
+    return news.status === "dead" && ageMs > options.forgetSilentAfterMs;
   }
 
   function hashes(): Uint32Array {
-    knownHashes ??= computeHashes();
-    return knownHashes;
+    cachedHashes ??= computeHashes();
+    return cachedHashes;
   }
 
   function computeHashes(): Uint32Array {
-    const found = new Uint32Array(BUCKETS);
+    const bucketHashes = new Uint32Array(BUCKETS);
     for (const { news, bucket, hash } of entries.values()) {
       if (hasEnded(news.status)) continue;
-      found[bucket] = ((found[bucket] ?? 0) ^ hash) >>> 0;
+      bucketHashes[bucket] = ((bucketHashes[bucket] ?? 0) ^ hash) >>> 0;
     }
-    return found;
+    return bucketHashes;
   }
 
   return {
-    /** Takes news in; returns whether it was any. */
+    /** Merges news into the table; returns whether the news prevailed. */
     merge(news: MemberNews): boolean {
       const { id } = news.record;
-      const known = entries.get(id);
-      if (known && !supersedes(news, known.news)) return false;
-      // Whoever has forgotten an instance must not take its end from one that
-      // has not: the record would go round and never be forgotten by all.
-      if (!known && hasEnded(news.status)) return false;
-      if (!known && entries.size >= LARGEST_TABLE) return false;
-      knownHashes = null;
+      const existing = entries.get(id);
+      if (existing && !supersedes(news, existing.news)) return false;
+      // A table that has dropped an ended member must not accept it from one
+      // that has not, or the record would circulate forever.
+      if (!existing && hasEnded(news.status)) return false;
+      if (!existing && entries.size >= MAX_RECORDS) return false;
+      cachedHashes = null;
       const now = performance.now();
-      const kept = known?.news.status === news.status;
-      const restarted =
-        known?.news.record.incarnation !== news.record.incarnation;
+      const isSameStatus = existing?.news.status === news.status;
+      const isRestarted =
+        existing?.news.record.incarnation !== news.record.incarnation;
       entries.set(id, {
         news,
         heardAt: now,
-        changedAt: known && kept ? known.changedAt : now,
-        reach: restarted ? undefined : known?.reach,
+        changedAt: existing && isSameStatus ? existing.changedAt : now,
+        reach: isRestarted ? undefined : existing?.reach,
         bytes: newsBytes(news),
         hash: hashOf(news.record),
-        bucket: known?.bucket ?? bucketOf(id),
+        bucket: existing?.bucket ?? bucketOf(id),
       });
       return true;
     },
-    /** Notes that the instance itself was heard, with its present load. */
+    /** Records a datagram from the member itself, with its current load. */
     hear(record: MemberRecord): void {
       const entry = entries.get(record.id);
       if (!entry || entry.news.record.incarnation !== record.incarnation) {
@@ -151,12 +152,12 @@
       if (entry.news.status !== "alive") return;
       entry.news = { ...entry.news, record };
     },
-    /** Notes how the instance can be reached. */
+    /** Records the route by which the member is reachable. */
     setReach(id: string, reach: Reach): void {
       const entry = entries.get(id);
       if (entry) entry.reach = reach;
     },
-    /** Suspects of longer than `afterMs`. */
+    /** Members that have been suspected for at least `afterMs`. */
     overdueSuspects(afterMs: number): MemberNews[] {
       const now = performance.now();
       return [...entries.values()]
@@ -166,41 +167,41 @@
         )
         .map(({ news }) => news);
     },
-    /** Drops records that have been of no use for long enough. */
+    /** Drops records of ended members after their retention. */
     forget(): void {
       for (const [id, entry] of entries) {
-        if (!isForgotten(entry)) continue;
+        if (!isExpired(entry)) continue;
         entries.delete(id);
-        knownHashes = null;
+        cachedHashes = null;
       }
     },
     news(id: string): MemberNews | undefined {
       return entries.get(id)?.news;
     },
-    /** A record with its size on the wire. */
+    /** A member's news with its size on the wire. */
     sized(id: string): { news: MemberNews; bytes: number } | undefined {
       return entries.get(id);
     },
-    /** Ids in the buckets whose hashes are not the same, bucket by bucket. */
+    /** Ids in buckets whose hashes differ, ordered from `firstBucket` on. */
     differing(
-      own: Uint16Array,
-      others: Uint16Array,
+      local: Uint16Array,
+      remote: Uint16Array,
       { firstBucket }: { readonly firstBucket: number },
     ): string[] {
-      const place = ({ bucket }: Entry) =>
+      const positionOf = ({ bucket }: Entry) =>
         (bucket + BUCKETS - firstBucket) % BUCKETS;
       return [...entries.values()]
-        .filter(({ bucket }) => own[bucket] !== others[bucket])
-        .sort((a, b) => place(a) - place(b))
+        .filter(({ bucket }) => local[bucket] !== remote[bucket])
+        .sort((a, b) => positionOf(a) - positionOf(b))
         .map(({ news }) => news.record.id);
     },
     hashes,
     get(id: string): Member | undefined {
       const entry = entries.get(id);
-      return entry && view(entry);
+      return entry && toMember(entry);
     },
     all(): readonly Member[] {
-      return [...entries.values()].map(view);
+      return [...entries.values()].map(toMember);
     },
     allNews(): readonly MemberNews[] {
       return [...entries.values()].map(({ news }) => news);
@@ -211,12 +212,12 @@
 
 export type MemberTable = ReturnType<typeof createMemberTable>;
 
-/** Hash of what makes a record differ from an older one of its instance. */
+/** Hash of the fields that identify a version of a member's record. */
 export function hashOf(record: MemberRecord): number {
   return h32(`${record.id} ${record.incarnation} ${record.revision}`);
 }
 
-/** The bucket in which every table keeps the record of `id`. */
+/** The digest bucket of the member `id`; the same in all tables. */
 export function bucketOf(id: string): number {
   return h32(id) % BUCKETS;
 }
--- a/packages/membership/src/member_table_test.ts
+++ b/packages/membership/src/member_table_test.ts
@@ -2,7 +2,7 @@
 import { describe, expect, it } from "vitest";
 import { createMemberTable } from "./member_table.ts";
 
-const LARGEST_TABLE = 4_096;
+const MAX_RECORDS = 4_096;
 
 function news(
   status: MemberStatus,
@@ -28,44 +28,79 @@
   return createMemberTable({ forgetSilentAfterMs: 1_000 });
 }
 
-describe("which news prevails", () => {
-  // Datagrams come late, doubled and out of order. Whoever took an older one
-  // for news would bring back an instance that has gone, or hide a new one.
+describe("member table", () => {
+  // Datagrams arrive late, duplicated and out of order. If older news
+  // prevailed, an ended instance would be listed as alive, or a new one as
+  // ended.
   it.each([
-    { known: news("alive", 1, 3), next: news("alive", 1, 4), taken: true },
-    { known: news("alive", 1, 3), next: news("alive", 1, 3), taken: false },
-    { known: news("alive", 1, 3), next: news("alive", 1, 2), taken: false },
-    { known: news("alive", 1, 3), next: news("suspect", 1, 3), taken: true },
-    { known: news("alive", 1, 4), next: news("suspect", 1, 3), taken: false },
-    { known: news("suspect", 1, 3), next: news("alive", 1, 3), taken: false },
-    { known: news("suspect", 1, 3), next: news("alive", 1, 4), taken: true },
-    { known: news("suspect", 1, 3), next: news("dead", 1, 3), taken: true },
-    { known: news("dead", 1, 3), next: news("alive", 1, 4), taken: true },
-    { known: news("left", 1, 3), next: news("alive", 1, 9), taken: false },
-    { known: news("left", 1, 3), next: news("alive", 2, 0), taken: true },
-    { known: news("alive", 2, 0), next: news("left", 1, 9), taken: false },
-    { known: news("dead", 1, 9), next: news("alive", 2, 0), taken: true },
-  ])("$known.status then $next.status: $taken", ({ known, next, taken }) => {
-    const table = createTable();
-    table.merge(known.status === "alive" ? known : news("alive", 1, 0));
-    table.merge(known);
-    expect(table.merge(next)).toBe(taken);
-  });
+    { current: news("alive", 1, 3), next: news("alive", 1, 4), isMerged: true },
+    {
+      current: news("alive", 1, 3),
+      next: news("alive", 1, 3),
+      isMerged: false,
+    },
+    {
+      current: news("alive", 1, 3),
+      next: news("alive", 1, 2),
+      isMerged: false,
+    },
+    {
+      current: news("alive", 1, 3),
+      next: news("suspect", 1, 3),
+      isMerged: true,
+    },
+    {
+      current: news("alive", 1, 4),
+      next: news("suspect", 1, 3),
+      isMerged: false,
+    },
+    {
+      current: news("suspect", 1, 3),
+      next: news("alive", 1, 3),
+      isMerged: false,
+    },
+    {
+      current: news("suspect", 1, 3),
+      next: news("alive", 1, 4),
+      isMerged: true,
+    },
+    {
+      current: news("suspect", 1, 3),
+      next: news("dead", 1, 3),
+      isMerged: true,
+    },
+    { current: news("dead", 1, 3), next: news("alive", 1, 4), isMerged: true },
+    { current: news("left", 1, 3), next: news("alive", 1, 9), isMerged: false },
+    { current: news("left", 1, 3), next: news("alive", 2, 0), isMerged: true },
+    { current: news("alive", 2, 0), next: news("left", 1, 9), isMerged: false },
+    { current: news("dead", 1, 9), next: news("alive", 2, 0), isMerged: true },
+  ])(
+    "merges $next.status over $current.status: $isMerged",
+    ({ current, next, isMerged }) => {
+      const table = createTable();
+      table.merge(current.status === "alive" ? current : news("alive", 1, 0));
+      table.merge(current);
+      expect(table.merge(next)).toBe(isMerged);
+    },
+  );
 
-  // One instance has forgotten a dead one, another still tells of it. Taken
-  // in, the record would go round for good and memory would grow.
-  it.each(["dead", "left"] as const)("takes no unknown %s in", (status) => {
-    const table = createTable();
-    expect(table.merge(news(status, 1, 3))).toBe(false);
-    expect(table.size()).toBe(0);
-  });
+  // One instance has dropped a dead member that another still sends. If the
+  // record were accepted, it would circulate forever and memory would grow.
+  it.each(["dead", "left"] as const)(
+    "does not add an unknown member with status %s",
+    (status) => {
+      const table = createTable();
+      expect(table.merge(news(status, 1, 3))).toBe(false);
+      expect(table.size()).toBe(0);
+    },
+  );
 
-  // A broken peer makes names up. The table must not grow without end.
-  it("refuses records over its bound", () => {
+  // A faulty peer sends made-up ids. The table must not grow without bound.
+  it("refuses records above its size limit", () => {
     const table = createTable();
-    for (let at = 0; at <= LARGEST_TABLE; at++) {
-      table.merge(news("alive", 1, 0, `made-up-${at}`));
+    for (let index = 0; index <= MAX_RECORDS; index++) {
+      table.merge(news("alive", 1, 0, `made-up-${index}`));
     }
-    expect(table.size()).toBe(LARGEST_TABLE);
+    expect(table.size()).toBe(MAX_RECORDS);
   });
 });
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -1,4 +1,4 @@
-/** Which instances are alive, and what they share: probes and gossip. */
+/** Membership by probes and gossip: live instances and their shared state. */
 import type {
   Address,
   MemberNews,
@@ -10,7 +10,7 @@
 import { createAcknowledgements } from "./acknowledgements.ts";
 import { createAddressBook, type ReadHints } from "./address_book.ts";
 import { createByteBudget } from "./byte_budget.ts";
-import { createDatagramAnswers } from "./datagram_answers.ts";
+import { createDatagramHandler } from "./datagram_handler.ts";
 import {
   createUdpTransport,
   type DatagramTransport,
@@ -29,63 +29,63 @@
   HEADER_BYTES,
 } from "./wire.ts";
 
-/** A new instance syncs faster until its table had time to fill. */
-const NEW_FOR_MS = 12_000;
-/** Records of who joined, fell silent or left, along with other datagrams. */
+/** Time for which an instance counts as new, while its table fills. */
+const NEW_INSTANCE_PERIOD_MS = 12_000;
+/** Budget for piggybacked records of members whose liveness changed. */
 const LIVENESS_BUDGET = { bytesPerSecond: 400, burstBytes: 2_500 };
 /**
- * Answers to syncs and shared state; a budget apart, as they can wait. A new
- * instance has a few tables' worth once: after a start of the whole fleet
- * everyone has to learn of everyone.
+ * Budget for answers to syncs and for shared state, which can be deferred. A
+ * new instance starts with enough for a few whole tables, as after a start of
+ * the whole fleet all instances have to learn of all others.
  */
 const SYNC_BUDGET = {
   bytesPerSecond: 300,
   burstBytes: 2_500,
-  initial: { bytes: 100_000, forMs: NEW_FOR_MS },
+  initial: { bytes: 100_000, forMs: NEW_INSTANCE_PERIOD_MS },
 };
-/** Addresses that are tried before the first step. */
-const FIRST_PINGS = 6;
-/** Instances that hear a goodbye from the one that leaves. */
-const GOODBYES = 12;
-/** Longer than an instance may serve without contact, by default. */
-const FORGET_SILENT_AFTER_MS = 2 * 3_600_000;
+/** Addresses that are pinged at the start, before the first probe. */
+const INITIAL_PINGS = 6;
+/** Number of addresses that a leaving instance sends its goodbye to. */
+const GOODBYE_FANOUT = 12;
+/** Exceeds the default time that an instance may serve without contact. */
+const DEFAULT_FORGET_SILENT_AFTER_MS = 2 * 3_600_000;
 
 const log = createLogger("membership");
 
 export interface MembershipOptions {
   readonly id: string;
   readonly failureDomain: string;
-  /** Where peers reach this instance; they learn it from its record. */
+  /** Address at which peers reach this instance, sent in its record. */
   readonly peer: Address;
-  /** Where it listens; at `peer` by default. */
+  /** Address to bind; `peer` by default. */
   readonly listen?: Address | undefined;
   readonly incarnation: number;
-  /** Where to look for the first peers. */
+  /** Instances to join through. */
   readonly seeds: readonly PeerSettings[];
   readonly metrics?: Metrics;
-  /** How datagrams travel; UDP at `listen` by default. */
+  /** Transport of datagrams; UDP at `listen` by default. */
   readonly transport?: DatagramTransport;
-  /** Addresses to try, from the platform's list, which may be wrong. */
+  /** More addresses to join through, from the platform's list; may be wrong. */
   readonly hints?: ReadHints;
   readonly random?: Random;
-  /** Longer than an instance may serve without contact, in milliseconds. */
+  /** Must exceed the time that an instance may serve without contact. */
   readonly forgetSilentAfterMs?: number;
 }
 
-/** The instances of a deployment, as one of them sees it. */
+/** The instances of a deployment as seen by one of them. */
 export interface Membership {
   readonly self: () => MemberRecord;
   /** All known instances other than this one. */
   readonly peers: () => readonly Member[];
-  /** Changes this instance's shared state; a higher note goes out at once. */
+  /** Changes the shared state; a higher note or draining is sent at once. */
   readonly share: (change: Partial<SharedState>) => void;
-  /** Called with each peer that is heard of; returns how to stop. */
+  /** Subscribes to news of peers; returns the unsubscribe function. */
   readonly onNews: (listener: (record: MemberRecord) => void) => () => void;
-  /** Says goodbye to the peers and closes. */
+  /** Sends a goodbye to peers and closes the transport. */
   readonly leave: () => Promise<void>;
 }
 
-/** Opens the transport and starts to look for peers. */
+/** Opens the transport and starts to join peers. */
 export async function createMembership(
   options: MembershipOptions,
 ): Promise<Membership> {
@@ -93,9 +93,10 @@
   const transport =
     options.transport ??
     (await createUdpTransport(options.listen ?? options.peer));
-  const own = createOwnRecord(options);
+  const ownRecord = createOwnRecord(options);
   const table = createMemberTable({
-    forgetSilentAfterMs: options.forgetSilentAfterMs ?? FORGET_SILENT_AFTER_MS,
+    forgetSilentAfterMs:
+      options.forgetSilentAfterMs ?? DEFAULT_FORGET_SILENT_AFTER_MS,
   });
   const budgets = {
     liveness: createByteBudget(LIVENESS_BUDGET),
@@ -104,41 +105,43 @@
   const dissemination = createDissemination({ table, budgets });
   const sync = createTableSync({
     table,
-    self: own.current,
+    self: ownRecord.current,
     budget: budgets.shared_state,
     random,
   });
   const acknowledgements = createAcknowledgements();
   const listeners = new Set<(record: MemberRecord) => void>();
-  const stopping = new AbortController();
-  const { signal } = stopping;
+  const abortController = new AbortController();
+  const { signal } = abortController;
   const startedAt = performance.now();
-  const book = createAddressBook({
+  const addressBook = createAddressBook({
     table,
     own: options.peer,
     seeds: options.seeds.map(({ address }) => address),
     hints: options.hints,
     signal,
   });
-  const urgent = createUrgentNews({
+  const urgentNews = createUrgentNews({
     failureDomain: options.failureDomain,
     table,
     random,
     send: (news, target) => send({ method: "news" }, target, news),
     signal,
   });
-  const answers = createDatagramAnswers({
+  const datagramHandler = createDatagramHandler({
     table,
     sync,
     acknowledgements,
     isNew,
     send,
-    sendPortion,
+    sendPortion: sendBatch,
     drop: (reason) => drop(reason, 0),
   });
 
   transport.onDatagram(receive);
-  for (const address of sample(book.strangers(), FIRST_PINGS, { random })) {
+  for (const address of sample(addressBook.strangers(), INITIAL_PINGS, {
+    random,
+  })) {
     send({ method: "ping", sequence: 0 }, address);
   }
   startProber({
@@ -147,8 +150,8 @@
     acknowledgements,
     random,
     send,
-    judge,
-    strangers: book.strangers,
+    judge: applyVerdict,
+    strangers: addressBook.strangers,
     signal,
   });
 
@@ -157,7 +160,7 @@
     target: Address,
     news: readonly MemberNews[] = [],
   ): void {
-    const record = own.current();
+    const record = ownRecord.current();
     const head = {
       from: { record, status: record.left ? "left" : "alive" } as const,
       hash: sync.hash(),
@@ -180,12 +183,12 @@
     const datagram = decodeDatagram(bytes);
     if (!datagram) return drop("malformed", bytes.length);
     const { from, news } = datagram.params;
-    takeIn(from);
+    applyNews(from);
     if (from.record.id === id) return drop("own_id", bytes.length);
     table.hear(from.record);
-    for (const each of news) takeIn(each);
-    answers.answer(datagram);
-    if (!from.record.left) tellListeners(from.record);
+    for (const memberNews of news) applyNews(memberNews);
+    datagramHandler.answer(datagram);
+    if (!from.record.left) notifyListeners(from.record);
   }
 
   function drop(reason: string, bytes: number): void {
@@ -194,48 +197,51 @@
   }
 
   function isNew(): boolean {
-    return performance.now() - startedAt < NEW_FOR_MS;
+    return performance.now() - startedAt < NEW_INSTANCE_PERIOD_MS;
   }
 
   /**
-   * One that stops right after its start may know nobody yet, while those that
-   * it pinged know it and would take it for silent. They are among the seeds.
+   * Members and join candidates. An instance that stops right after its start
+   * has no members yet, but the candidates that it pinged have its record and
+   * would suspect it if they got no goodbye.
    */
   function goodbyeTargets(): readonly Address[] {
-    const known = table.allNews().filter(({ status }) => !hasEnded(status));
-    const peers = sample(known, GOODBYES, { random });
-    const strangers = sample(book.strangers(), GOODBYES, { random });
-    const all = [...peers.map(({ record }) => record.peer), ...strangers];
-    return all.slice(0, GOODBYES);
+    const active = table.allNews().filter(({ status }) => !hasEnded(status));
+    const peers = sample(active, GOODBYE_FANOUT, { random });
+    const candidates = sample(addressBook.strangers(), GOODBYE_FANOUT, {
+      random,
+    });
+    const all = [...peers.map(({ record }) => record.peer), ...candidates];
+    return all.slice(0, GOODBYE_FANOUT);
   }
 
-  function sendPortion(news: readonly MemberNews[], target: Address): void {
-    const from = { record: own.current(), status: "alive" } as const;
+  function sendBatch(news: readonly MemberNews[], target: Address): void {
+    const from = { record: ownRecord.current(), status: "alive" } as const;
     const head = { from, hash: sync.hash(), news };
     sendEncoded(encodeDatagram({ method: "news" }, head), target);
   }
 
-  function takeIn(news: MemberNews): void {
+  function applyNews(news: MemberNews): void {
     const { record, status } = news;
-    if (record.id === id) return hearOfSelf(news);
-    const before = table.news(record.id);
+    if (record.id === id) return handleNewsOfSelf(news);
+    const previous = table.news(record.id);
     if (!table.merge(news)) return;
-    const restarted = before?.record.incarnation !== record.incarnation;
-    const changed = restarted || before.status !== status;
-    // What is new to a new instance is mostly known to the others.
-    if (before || !isNew()) {
-      dissemination.enqueue(record.id, urgencyOf(news, before));
+    const isRestarted = previous?.record.incarnation !== record.incarnation;
+    const isChanged = isRestarted || previous.status !== status;
+    // Other instances already have most members that a new instance learns of.
+    if (previous || !isNew()) {
+      dissemination.enqueue(record.id, urgencyOf(news, previous));
     }
-    if (changed) logChange(news, { restarted });
+    if (isChanged) logChange(news, { restarted: isRestarted });
     if (hasEnded(status)) table.setReach(record.id, "none");
-    urgent.passOn(news);
-    tellListeners(record);
+    urgentNews.passOn(news);
+    notifyListeners(record);
   }
 
-  /** Those told at once spread it much faster than the probes alone would. */
-  function judge(news: MemberNews): void {
-    takeIn(news);
-    if (news.status === "suspect") urgent.tell([news]);
+  /** Gossips a new suspicion at once, as piggybacking alone would be slow. */
+  function applyVerdict(news: MemberNews): void {
+    applyNews(news);
+    if (news.status === "suspect") urgentNews.tell([news]);
   }
 
   function logChange(
@@ -260,21 +266,21 @@
     }
   }
 
-  function tellListeners(record: MemberRecord): void {
+  function notifyListeners(record: MemberRecord): void {
     for (const listener of listeners) listener(record);
   }
 
-  function hearOfSelf(news: MemberNews): void {
-    if (own.hear(news) === "refuted") urgent.tell([]);
+  function handleNewsOfSelf(news: MemberNews): void {
+    if (ownRecord.hear(news) === "refuted") urgentNews.tell([]);
   }
 
   return {
-    self: own.current,
+    self: ownRecord.current,
     peers: () => table.all(),
     share(change) {
-      own.share(change);
-      const told = urgent.tellOwnNote(own.current().shared.note);
-      if (!told && change.draining !== undefined) urgent.tell([]);
+      ownRecord.share(change);
+      const isSent = urgentNews.tellOwnNote(ownRecord.current().shared.note);
+      if (!isSent && change.draining !== undefined) urgentNews.tell([]);
     },
     onNews(listener) {
       listeners.add(listener);
@@ -282,9 +288,9 @@
     },
     async leave() {
       if (signal.aborted) return;
-      own.leave();
+      ownRecord.leave();
       for (const address of goodbyeTargets()) send({ method: "news" }, address);
-      stopping.abort();
+      abortController.abort();
       acknowledgements.cancel();
       await transport.close();
     },
@@ -292,14 +298,20 @@
 }
 
 /**
- * Whoever knows of a suspicion declares the death by itself, and a table's
- * sync brings those that joined, a whole fleet of them if need be.
+ * New and dead members are not urgent: each instance that has a suspicion
+ * declares the death itself, and table syncs spread the records of new members,
+ * even those of a whole fleet.
  */
-function urgencyOf(news: MemberNews, before: MemberNews | undefined): Urgency {
-  if (!before || news.status === "dead") return "shared_state";
+function urgencyOf(
+  news: MemberNews,
+  previous: MemberNews | undefined,
+): Urgency {
+  if (!previous || news.status === "dead") return "shared_state";
   const { record, status } = news;
-  const restarted = before.record.incarnation !== record.incarnation;
-  const drains = before.record.shared.draining !== record.shared.draining;
-  const urgent = restarted || drains || before.status !== status;
-  return urgent ? "liveness" : "shared_state";
+  const isRestarted = previous.record.incarnation !== record.incarnation;
+  const isDrainingChanged =
+    previous.record.shared.draining !== record.shared.draining;
+  const isUrgent =
+    isRestarted || isDrainingChanged || previous.status !== status;
+  return isUrgent ? "liveness" : "shared_state";
 }
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -8,7 +8,7 @@
 
 const SEED = 11;
 const HOST = "127.0.0.1";
-const FINE = 1_000_000;
+const RANDOM_STEPS = 1_000_000;
 const MINUTE_MS = 60_000;
 
 interface Node {
@@ -25,7 +25,7 @@
 beforeEach(() => {
   vi.useFakeTimers();
   const seeded = createSeededRandom(SEED);
-  random = () => seeded.between(0, FINE - 1) / FINE;
+  random = () => seeded.between(0, RANDOM_STEPS - 1) / RANDOM_STEPS;
   links = createDatagramLinks({ random, headerBytes: HEADER_BYTES });
   running = [];
 });
@@ -66,15 +66,15 @@
   return { id, domain, port, membership };
 }
 
-/** Starts nodes in domains in turn and lets them learn of one another. */
+/** Starts nodes in alternating domains and waits until they have joined. */
 async function startFleet(
   size: number,
   domains: readonly string[] = ["a", "b", "c"],
 ): Promise<Node[]> {
   const nodes: Node[] = [];
-  for (let at = 0; at < size; at++) {
-    const domain = domains[at % domains.length] ?? "a";
-    nodes.push(await start({ domain, port: at + 1 }));
+  for (let index = 0; index < size; index++) {
+    const domain = domains[index % domains.length] ?? "a";
+    nodes.push(await start({ domain, port: index + 1 }));
   }
   await vi.advanceTimersByTimeAsync(15_000);
   return nodes;
@@ -94,21 +94,21 @@
   return [...new Set(pairs)];
 }
 
-function first(nodes: readonly Node[], at = 0): Node {
-  const node = nodes[at];
-  if (!node) throw new Error(`no node ${at}`);
+function nodeAt(nodes: readonly Node[], index = 0): Node {
+  const node = nodes[index];
+  if (!node) throw new Error(`no node ${index}`);
   return node;
 }
 
 describe("membership", () => {
-  it("lets all learn of all from one seed", async () => {
+  it("joins all instances through one seed", async () => {
     const nodes = await startFleet(12);
     expect(statesIn(nodes)).toEqual(["alive"]);
   });
 
-  // One in ten datagrams is lost, some come twice and out of order, as on a
-  // bad day of a switch. An operator must not see instances flap.
-  it("suspects nobody for good over lossy links", async () => {
+  // One in ten datagrams is lost, others are duplicated or reordered, as with a
+  // faulty switch. Instances must not stay suspected.
+  it("clears all suspicions after packet loss has ended", async () => {
     const nodes = await startFleet(12);
     Object.assign(links.faults, { loss: 0.1, duplication: 0.1, delayMs: 40 });
     await vi.advanceTimersByTimeAsync(2 * MINUTE_MS);
@@ -117,11 +117,11 @@
     expect(statesIn(nodes)).toEqual(["alive"]);
   });
 
-  // A machine dies without a word. The others have to see it as silent, and
-  // must not forget it: it may be cut off and still serve from an old note.
-  it("holds a dead instance for silent and remembers it", async () => {
+  // An instance stops without a goodbye. The others must suspect it and keep
+  // its record, as it may be partitioned and still serve under an old note.
+  it("keeps an instance that does not answer as suspect", async () => {
     const nodes = await startFleet(12);
-    const victim = first(nodes, 5);
+    const victim = nodeAt(nodes, 5);
     links.silence({ host: HOST, port: victim.port });
     await vi.advanceTimersByTimeAsync(20_000);
     const living = nodes.filter((node) => node !== victim);
@@ -134,15 +134,15 @@
     );
   });
 
-  // The link between domains a and b is cut while c sees both. Those in a
-  // and b hear of each other through c: nobody is held for dead, a new note
-  // number crosses, and an operator sees which way each can be reached.
-  it("reaches a domain that is cut off through a third one", async () => {
+  // Domains a and b are partitioned while c reaches both. Members in a and b
+  // probe each other through c: none is declared dead, a new note number
+  // reaches the other side, and operators see the route of each member.
+  it("reaches a partitioned domain through a third one", async () => {
     const nodes = await startFleet(12);
     links.cut("a", "b");
     await vi.advanceTimersByTimeAsync(MINUTE_MS);
     expect(statesIn(nodes)).toEqual(["alive"]);
-    const viewer = first(nodes);
+    const viewer = nodeAt(nodes);
     const reaches = viewer.membership
       .peers()
       .filter(({ record }) => record.failureDomain === "b")
@@ -155,10 +155,9 @@
     }
   });
 
-  // Two regions lose each other for minutes and hold each other for dead.
-  // After the link is back nobody restarts anything: they must find each
-  // other by themselves.
-  it("joins two sides again after they held each other for dead", async () => {
+  // Two regions are partitioned for minutes and declare each other dead. When
+  // the link has healed, they must rejoin without a restart.
+  it("rejoins two sides that have declared each other dead", async () => {
     const nodes = await startFleet(8, ["a", "b"]);
     links.cut("a", "b");
     await vi.advanceTimersByTimeAsync(3 * MINUTE_MS);
@@ -168,26 +167,26 @@
     expect(statesIn(nodes)).toEqual(["alive"]);
   });
 
-  // An instance leaves; an old datagram that says it lives arrives late. It
-  // must stay gone, or work would be sent to it.
-  it("takes a goodbye as final for its incarnation", async () => {
+  // An instance leaves, and an older datagram of it arrives late. If it were
+  // listed as alive, it would be sent requests.
+  it("treats a goodbye as final for its incarnation", async () => {
     const nodes = await startFleet(6);
-    const leaver = first(nodes, 2);
+    const leaver = nodeAt(nodes, 2);
     const old = leaver.membership.self();
     await leaver.membership.leave();
     await vi.advanceTimersByTimeAsync(5_000);
     const rest = nodes.filter((node) => node !== leaver);
-    sendAsIf(old, first(nodes));
+    sendAsIf(old, nodeAt(nodes));
     await vi.advanceTimersByTimeAsync(5_000);
     expect(new Set(rest.map((node) => stateOf(node, leaver)))).toEqual(
       new Set(["left"]),
     );
   });
 
-  // An instance is stopped in the moment of its start: a peer has its first
-  // ping, and its answer is on the way. Without a goodbye the peer would take
-  // the new one for silent, and a recall would wait for it.
-  it("says goodbye to those that know it before it knows them", async () => {
+  // An instance is stopped right after its start: a peer has its first ping,
+  // and the answer is in flight. Without a goodbye the peer would suspect the
+  // instance, and a recall would wait for it.
+  it("sends its goodbye to pinged addresses without an answer", async () => {
     const [stays] = await startFleet(1, ["a"]);
     if (!stays) throw new Error("one node was started");
     links.faults.delayMs = 100;
@@ -201,43 +200,43 @@
     expect(stateOf(stays, leaves)).toBe("left");
   });
 
-  // An instance dies and starts again at its address at once. Its peers must
-  // not mistake it for the old process: the old one's note is not its own.
-  it("tells a restart at the same address from the old process", async () => {
+  // An instance dies and restarts at its address at once. Its peers must not
+  // attribute the note of the old process to the new one.
+  it("distinguishes a process restarted at the same address", async () => {
     const nodes = await startFleet(6);
-    const old = first(nodes, 3);
+    const old = nodeAt(nodes, 3);
     const { incarnation } = old.membership.self();
     links.silence({ host: HOST, port: old.port });
     await vi.advanceTimersByTimeAsync(500);
     links.heal();
-    const again = await start({
+    const restarted = await start({
       domain: old.domain,
       port: old.port,
       incarnation: incarnation + 1,
     });
-    again.membership.share({ note: 4 });
+    restarted.membership.share({ note: 4 });
     await vi.advanceTimersByTimeAsync(20_000);
     const others = nodes.filter((node) => node !== old);
     for (const node of others) {
-      expect(stateOf(node, again)).toBe("alive");
-      expect(noteSeenBy(node, again)).toBe(4);
+      expect(stateOf(node, restarted)).toBe("alive");
+      expect(noteSeenBy(node, restarted)).toBe(4);
     }
   });
 
-  // A frozen process is replaced by one of the same name elsewhere, and then
-  // thaws. It must not push its successor aside: it may hold an old note.
-  it("lets a thawed process give way to its successor", async () => {
+  // A paused process is replaced by one with the same id elsewhere, and then
+  // resumes. It must not supersede its successor, as it may hold an old note.
+  it("keeps the successor of a process that resumes", async () => {
     const nodes = await startFleet(6);
-    const thawed = first(nodes, 3);
-    const place = { host: HOST, port: thawed.port };
-    links.silence(place);
+    const resumed = nodeAt(nodes, 3);
+    const address = { host: HOST, port: resumed.port };
+    links.silence(address);
     await vi.advanceTimersByTimeAsync(5_000);
-    const { id, domain } = thawed;
+    const { id, domain } = resumed;
     const successor = await start({ id, domain, port: 40 });
     await vi.advanceTimersByTimeAsync(10_000);
     links.heal();
     await vi.advanceTimersByTimeAsync(MINUTE_MS);
-    const others = nodes.filter((node) => node !== thawed);
+    const others = nodes.filter((node) => node !== resumed);
     const { incarnation } = successor.membership.self();
     for (const node of others) {
       const found = node.membership
@@ -247,11 +246,11 @@
     }
   });
 
-  // A new process under another name listens at a dead one's address. Its
-  // answers must not keep the dead one alive in the eyes of the others.
-  it("does not take a stranger's answer for the dead one's", async () => {
+  // A new process with another id listens at the address of a dead one. Its
+  // answers must not make peers consider the dead instance alive.
+  it("ignores answers of a new instance at a dead one's address", async () => {
     const nodes = await startFleet(6);
-    const dead = first(nodes, 3);
+    const dead = nodeAt(nodes, 3);
     links.silence({ host: HOST, port: dead.port });
     await vi.advanceTimersByTimeAsync(200);
     links.heal();
@@ -263,39 +262,39 @@
     );
   });
 
-  // An instance is frozen for ten seconds and wakes: its own timers are all
-  // due, while the answers it missed are unread. It must suspect nobody.
-  it("suspects nobody after it stood still itself", async () => {
+  // An instance resumes after a pause of 10 s: its timers are due before the
+  // pending answers are read. It must not suspect other instances.
+  it("suspects no instance after a pause of its own process", async () => {
     const nodes = await startFleet(6);
-    const frozen = first(nodes);
+    const frozen = nodeAt(nodes);
     links.faults.loss = 1;
-    // A probe goes out at the next step, 500 ms on, and gets no answer.
+    // A probe is sent at the next step, after 500 ms, and is lost.
     await vi.advanceTimersByTimeAsync(510);
     const now = performance.now.bind(performance);
-    const skipped = vi
+    const clock = vi
       .spyOn(performance, "now")
       .mockImplementation(() => now() + 10_000);
-    // The links are whole again for later probes, too late for that one.
+    // The links recover for later probes, too late for that one.
     await vi.advanceTimersByTimeAsync(835);
     links.faults.loss = 0;
     await vi.advanceTimersByTimeAsync(65);
     expect(
       frozen.membership.peers().filter(({ state }) => state !== "alive"),
     ).toEqual([]);
-    skipped.mockRestore();
+    clock.mockRestore();
   });
 
-  // A dead instance is forgotten in the end, so that memory stays bounded.
-  // One that still remembers must not bring it back to one that has not.
-  it("forgets the dead without bringing them back", async () => {
+  // Dead members are dropped after a retention, so that memory stays bounded.
+  // A peer that still has the record must not add it to a table without it.
+  it("drops dead members without adding them again", async () => {
     const forgetSilentAfterMs = 30 * MINUTE_MS;
     const nodes: Node[] = [];
-    for (let at = 0; at < 4; at++) {
-      const place = { domain: "a", port: at + 1 };
-      nodes.push(await start(place, { forgetSilentAfterMs }));
+    for (let index = 0; index < 4; index++) {
+      const options = { domain: "a", port: index + 1 };
+      nodes.push(await start(options, { forgetSilentAfterMs }));
     }
     await vi.advanceTimersByTimeAsync(10_000);
-    const victim = first(nodes, 3);
+    const victim = nodeAt(nodes, 3);
     links.silence({ host: HOST, port: victim.port });
     await vi.advanceTimersByTimeAsync(10 * MINUTE_MS);
     const joiner = await start({ domain: "a", port: 9 });
@@ -311,17 +310,17 @@
     ]);
   });
 
-  // Anything can arrive at an open port. It is counted and changes nothing.
+  // Anything can arrive at an open port. It is counted and otherwise ignored.
   it.each([
     { what: "noise", datagram: "\u0000\u0001not json" },
     { what: "another protocol", datagram: '{"jsonrpc":"2.0","id":1}' },
     {
-      what: "a record out of shape",
+      what: "a malformed record",
       datagram:
         '{"jsonrpc":"2.0","method":"news","params":{"from":[],"hash":0,"news":[]}}',
     },
     {
-      what: "too many bytes",
+      what: "an oversized datagram",
       datagram: JSON.stringify({
         jsonrpc: "2.0",
         method: "news",
@@ -346,9 +345,9 @@
     ]);
   });
 
-  // The instance list of the platform names an instance that no setting
-  // names; a wrong entry beside it must do no harm.
-  it("finds an instance by a hint alone", async () => {
+  // The platform's instance list has an instance that is not in the settings,
+  // and a wrong entry, which must do no harm.
+  it("joins an instance known from a hint only", async () => {
     const alone = await start({ domain: "a", port: 1, seedPorts: [] });
     const hints = async () => [
       { host: HOST, port: 77 },
@@ -359,11 +358,11 @@
     expect(stateOf(alone, { id: "b-2" })).toBe("alive");
   });
 
-  // A broken peer asks for the whole table over and over. The answers are
-  // larger than what it sends; without a bound it could drown the links.
-  it("bounds what it answers to one that asks again and again", async () => {
+  // A faulty peer requests the whole table repeatedly. The answers are larger
+  // than its requests and could saturate the links without a limit.
+  it("limits answers to repeated sync requests", async () => {
     const nodes = await startFleet(24);
-    const asked = first(nodes);
+    const asked = nodeAt(nodes);
     const address = { host: HOST, port: 800 };
     const asker = links.transport({ address, domain: "a" });
     const digests = Buffer.alloc(256).toString("base64");
@@ -378,7 +377,7 @@
     const asks = 500;
     const everyMs = 200;
     const before = bytesOf(address.port);
-    for (let at = 0; at < asks; at++) {
+    for (let index = 0; index < asks; index++) {
       asker.send(datagram, { host: HOST, port: asked.port });
       await vi.advanceTimersByTimeAsync(everyMs);
     }
@@ -388,9 +387,9 @@
     expect(answered).toBeLessThan(3_000);
   });
 
-  // A note change makes every record of the fleet change at once. The rate
-  // and the size of datagrams have to stay bounded all the same.
-  it("keeps datagrams and rates bounded over a note change", async () => {
+  // A note change changes all records of the fleet at once. The rate and the
+  // size of datagrams must stay bounded.
+  it("limits datagram size and traffic during a note change", async () => {
     const nodes = await startFleet(48, ["a", "b", "c", "d"]);
     let largest = 0;
     const address = { host: HOST, port: 500 };
@@ -413,13 +412,15 @@
     for (const { membership } of nodes) membership.share({ note: 3 });
     await vi.advanceTimersByTimeAsync(MINUTE_MS);
     const rates = nodes.map(
-      ({ port }, at) => (bytesOf(port) - (before[at] ?? 0)) / 60,
+      ({ port }, index) => (bytesOf(port) - (before[index] ?? 0)) / 60,
     );
     expect(Math.max(...rates)).toBeLessThan(3_000);
     expect(largest).toBeGreaterThan(0);
     expect(largest).toBeLessThanOrEqual(LARGEST_DATAGRAM_BYTES);
     for (const node of nodes) {
-      expect(noteSeenBy(node, first(nodes, node === nodes[0] ? 1 : 0))).toBe(3);
+      expect(noteSeenBy(node, nodeAt(nodes, node === nodes[0] ? 1 : 0))).toBe(
+        3,
+      );
     }
   });
 });
@@ -434,7 +435,7 @@
   return links.traffic({ host: HOST, port }).bytes;
 }
 
-/** Sends a datagram with an old record as its sender. */
+/** Sends a datagram with `record` as its sender, at a later revision. */
 function sendAsIf(record: MemberRecord, to: Node): void {
   const { id, failureDomain, peer, incarnation, revision } = record;
   const from = [id, failureDomain, peer.host, peer.port];
--- a/packages/membership/src/mod.ts
+++ b/packages/membership/src/mod.ts
@@ -1,4 +1,4 @@
-/** Which instances are alive, and the small state they share. */
+/** Membership of instances: liveness and a small shared state. */
 export { type ByteBudget, createByteBudget } from "./byte_budget.ts";
 export * from "./datagram_transport.ts";
 export * from "./member_table.ts";
--- a/packages/membership/src/own_record.ts
+++ b/packages/membership/src/own_record.ts
@@ -1,4 +1,4 @@
-/** The record that an instance tells of itself. */
+/** The record that an instance publishes of itself. */
 import {
   type Address,
   formatAddress,
@@ -8,20 +8,22 @@
 } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 
-/** A change of load alone is told to those not in contact this often. */
-const LOAD_EVERY_MS = 10_000;
-const WARN_EVERY_MS = 60_000;
+/** Minimum interval between revisions that only change the load. */
+const LOAD_UPDATE_INTERVAL_MS = 10_000;
+const WARN_INTERVAL_MS = 60_000;
 
 const log = createLogger("membership");
 
-/** What became of the record after others' news of it. */
+/** Whether news from others about this instance had to be refuted. */
 export type Correction = "none" | "refuted";
 
 export interface OwnRecord {
   current(): MemberRecord;
+  /** Changes the shared state; a change of load alone may keep the revision. */
   share(change: Partial<SharedState>): void;
+  /** Marks this incarnation as ended. */
   leave(): void;
-  /** Corrects what others believe of this instance. */
+  /** Takes news of this instance; refutes wrong news by a higher revision. */
   hear(news: MemberNews): Correction;
 }
 
@@ -42,25 +44,25 @@
     left: false,
     shared: { note: 0, draining: false, load: 0 },
   };
-  let loadToldAt = performance.now();
+  let loadSharedAt = performance.now();
   let warnedAt = -Infinity;
 
-  /** Every answer changes the load; the fleet need not hear each time. */
-  function isWorthTelling(shared: SharedState): boolean {
+  /** The load changes with every answer, too often for a revision each time. */
+  function needsNewRevision(shared: SharedState): boolean {
     const { note, draining } = record.shared;
     if (shared.note !== note || shared.draining !== draining) return true;
-    return performance.now() - loadToldAt >= LOAD_EVERY_MS;
+    return performance.now() - loadSharedAt >= LOAD_UPDATE_INTERVAL_MS;
   }
 
   /**
-   * A frozen process that thaws hears of its successor and must not push it
-   * aside: it may hold an old note. So nothing is corrected. The same shows
-   * when the clock was set back before a restart; peers then take the news of
-   * this process for old, until they have forgotten the one before.
+   * A process that resumes after a pause may learn of a successor with its id.
+   * It may hold an old note and must not supersede the successor, so it refutes
+   * nothing. The same occurs if the clock was set back before a restart: peers
+   * then ignore this process as the older one until they drop the previous one.
    */
   function warnOfSuccessor({ incarnation, peer }: MemberRecord): void {
     const now = performance.now();
-    if (now - warnedAt < WARN_EVERY_MS) return;
+    if (now - warnedAt < WARN_INTERVAL_MS) return;
     warnedAt = now;
     const address = formatAddress(peer);
     log.warn("replaced_by_successor", { incarnation, address });
@@ -70,23 +72,25 @@
     current: () => record,
     share(change) {
       const shared = { ...record.shared, ...change };
-      const step = isWorthTelling(shared) ? 1 : 0;
-      if (step === 1) loadToldAt = performance.now();
-      record = { ...record, revision: record.revision + step, shared };
+      const revisionStep = needsNewRevision(shared) ? 1 : 0;
+      if (revisionStep === 1) loadSharedAt = performance.now();
+      record = { ...record, revision: record.revision + revisionStep, shared };
     },
     leave() {
       record = { ...record, revision: record.revision + 1, left: true };
     },
-    hear({ record: told, status }) {
-      if (record.left || told.incarnation < record.incarnation) return "none";
-      if (told.incarnation > record.incarnation) {
-        warnOfSuccessor(told);
+    hear({ record: reported, status }) {
+      if (record.left || reported.incarnation < record.incarnation)
+        return "none";
+      if (reported.incarnation > record.incarnation) {
+        warnOfSuccessor(reported);
         return "none";
       }
-      const believedAlive = status === "alive";
-      if (believedAlive && told.revision <= record.revision) return "none";
-      if (told.revision < record.revision) return "none";
-      record = { ...record, revision: told.revision + 1 };
+      const isReportedAlive = status === "alive";
+      if (isReportedAlive && reported.revision <= record.revision)
+        return "none";
+      if (reported.revision < record.revision) return "none";
+      record = { ...record, revision: reported.revision + 1 };
       log.info("suspicion_refuted", { status, revision: record.revision });
       return "refuted";
     },
--- a/packages/membership/src/peer_rpc.ts
+++ b/packages/membership/src/peer_rpc.ts
@@ -10,16 +10,16 @@
 import { Agent } from "undici";
 
 const CALL_TIMEOUT_MS = 1_000;
-const LARGEST_BODY_BYTES = 4 * 1024 * 1024;
+const MAX_BODY_BYTES = 4 * 1024 * 1024;
 const PARSE_ERROR = -32_700;
-/** Hosts that stand for every address of the machine. */
-const WILDCARDS = new Set(["0.0.0.0", "::"]);
+/** Hosts that bind all addresses of the machine. */
+const WILDCARD_HOSTS = new Set(["0.0.0.0", "::"]);
 
-/** Why a call to a peer gave no answer. */
+/** Reason why a call to a peer gave no result. */
 export type PeerFailure =
-  /** Nothing listens there: the process that did has ended. */
+  /** The connection was refused: the process at the address has ended. */
   | { readonly kind: "refused" }
-  /** Silence; the peer may be frozen, cut off or gone. */
+  /** No answer; the peer may be paused, partitioned or stopped. */
   | { readonly kind: "unreachable"; readonly detail: string }
   /** The peer answered with an error. */
   | { readonly kind: "rejected"; readonly detail: string };
@@ -33,7 +33,7 @@
   Record<string, (params: unknown) => Promise<unknown> | unknown>
 >;
 
-/** Starts the server of peers' requests. */
+/** Starts the server for requests of peers. */
 export async function startPeerServer(
   address: Address,
   methods: PeerMethods,
@@ -43,7 +43,7 @@
     rpc.addMethod(name, handler);
   }
   const server = createServer(async (incoming, outgoing) => {
-    const answer = await answerCall(rpc, incoming);
+    const answer = await handleCall(rpc, incoming);
     outgoing.setHeader("content-type", "application/json");
     outgoing.end(JSON.stringify(answer));
   });
@@ -54,7 +54,7 @@
   return server;
 }
 
-async function answerCall(rpc: JSONRPCServer, incoming: IncomingMessage) {
+async function handleCall(rpc: JSONRPCServer, incoming: IncomingMessage) {
   try {
     const body = await readBody(incoming);
     return await rpc.receive(JSON.parse(body) as JSONRPCRequest);
@@ -68,7 +68,7 @@
   let size = 0;
   for await (const chunk of incoming as AsyncIterable<Buffer>) {
     size += chunk.length;
-    if (size > LARGEST_BODY_BYTES) throw new Error("body too large");
+    if (size > MAX_BODY_BYTES) throw new Error("body too large");
     chunks.push(chunk);
   }
   return Buffer.concat(chunks).toString();
@@ -84,14 +84,14 @@
 }
 
 /**
- * Creates a caller that keeps one connection pool for all peers. Its calls
- * come from `host`, as the datagrams of this instance do, so that a filter on
- * the way sees one instance at one address.
+ * Creates a caller with one connection pool for all peers. Its connections use
+ * `host` as local address, as the datagrams of this instance do, so that
+ * network filters see the instance at one address.
  */
 export function createPeerCaller(host: string): PeerCaller {
   const agent = new Agent({
     connect: { timeout: CALL_TIMEOUT_MS },
-    ...(WILDCARDS.has(host) ? {} : { localAddress: host }),
+    ...(WILDCARD_HOSTS.has(host) ? {} : { localAddress: host }),
   });
 
   return {
--- a/packages/membership/src/probe_order.ts
+++ b/packages/membership/src/probe_order.ts
@@ -21,9 +21,9 @@
 }
 
 /**
- * Goes round a changing set in random order. Each round takes every member
- * once, which bounds the time until any of them is probed again; a free
- * random choice would not.
+ * Iterates over a changing set in rounds of random order. Each round contains
+ * every member once, which bounds the time between probes of a member;
+ * independent random choices would not.
  */
 export function createProbeOrder(options: {
   readonly candidates: () => readonly string[];
@@ -31,6 +31,7 @@
 }) {
   let round: string[] = [];
   return {
+    /** The next candidate; `undefined` if there are none. */
     next(): string | undefined {
       const candidates = new Set(options.candidates());
       round = round.filter((id) => candidates.has(id));
--- a/packages/membership/src/prober.ts
+++ b/packages/membership/src/prober.ts
@@ -1,4 +1,4 @@
-/** Probes other instances and judges which of them have gone silent. */
+/** Failure detector: probes members and reports suspected and dead ones. */
 import type { Address, MemberNews } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 import { pause } from "@rosemarypin/timing";
@@ -7,25 +7,25 @@
 import { createProbeOrder, type Random, sample } from "./probe_order.ts";
 import type { DatagramBody } from "./wire.ts";
 
-/** Time for an answer before others are asked to try. */
+/** Time for a direct answer before helpers are asked to probe. */
 const DIRECT_TIMEOUT_MS = 350;
-/** Time for an answer by way of others; a late direct one counts as well. */
+/** Time for an answer through helpers; a late direct one counts as well. */
 const INDIRECT_TIMEOUT_MS = 550;
-/** Instances asked to try in this one's place. */
-const HELPERS = 3;
-/** How long a suspect has to show that it lives. */
-const SUSPICION_MS = 4_000;
-/** A probe this late means that this process itself stood still. */
-const LARGEST_LATENESS_MS = 700;
-/** Probes of other domains are fewer: one in so many steps. */
-const FAR_EVERY = 2;
-/** Seeds, hints and the dead are tried once in so many steps. */
-const STRANGER_EVERY = 5;
-/** A new instance tries some in each of its first steps. */
-const FIRST_STEPS = 8;
-const FIRST_STRANGERS = 2;
-/** Fleets up to this size can afford to probe more often. */
-const SMALL_FLEET = 8;
+/** Instances that are asked to probe on behalf of this one. */
+const MAX_HELPERS = 3;
+/** Time that a suspected member has to refute the suspicion. */
+const SUSPICION_TIMEOUT_MS = 4_000;
+/** Delay of a probe beyond which this process must have been paused. */
+const MAX_LATENESS_MS = 700;
+/** Steps per probe of a member in another domain. */
+const STEPS_PER_REMOTE_PROBE = 2;
+/** Steps per ping of a seed, a hint or a dead member. */
+const STEPS_PER_JOIN_PING = 5;
+/** Steps after the start that each ping several of these addresses. */
+const INITIAL_STEPS = 8;
+const JOIN_PINGS_PER_INITIAL_STEP = 2;
+/** Fleets below this size probe more often, as their traffic is low. */
+const SMALL_FLEET_SIZE = 8;
 const SMALL_FLEET_STEP_MS = 500;
 const STEP_MS = 1_000;
 
@@ -37,37 +37,43 @@
   readonly acknowledgements: Acknowledgements;
   readonly random: Random;
   readonly send: (body: DatagramBody, target: Address) => void;
-  /** Takes in a judgement of this instance's own. */
+  /** Called when this instance suspects a member or declares it dead. */
   readonly judge: (news: MemberNews) => void;
-  /** Addresses at which an instance may or may not be. */
+  /** Addresses to ping in order to join or rejoin other instances. */
   readonly strangers: () => readonly Address[];
   readonly signal: AbortSignal;
 }
 
-/** Starts to probe, until the signal ends it. */
+/** Starts to probe until `signal` aborts. */
 export function startProber(options: ProberOptions): void {
   const { self, table, acknowledgements, random, send, signal } = options;
-  const near = createProbeOrder({ candidates: () => living(true), random });
-  const far = createProbeOrder({ candidates: () => living(false), random });
+  const localOrder = createProbeOrder({
+    candidates: () => activeIds(true),
+    random,
+  });
+  const remoteOrder = createProbeOrder({
+    candidates: () => activeIds(false),
+    random,
+  });
   void run();
 
   async function run(): Promise<void> {
     for (let step = 0; !signal.aborted; step++) {
-      if (step < FIRST_STEPS) greetStrangers(FIRST_STRANGERS);
-      else if (step % STRANGER_EVERY === 0) greetStrangers(1);
+      if (step < INITIAL_STEPS) pingJoinCandidates(JOIN_PINGS_PER_INITIAL_STEP);
+      else if (step % STEPS_PER_JOIN_PING === 0) pingJoinCandidates(1);
       probeNext(step);
       declareDead();
       table.forget();
-      await sleepOneStep();
+      await waitForNextStep();
     }
   }
 
-  function sleepOneStep(): Promise<void> {
-    const small = table.size() < SMALL_FLEET;
-    return pause(small ? SMALL_FLEET_STEP_MS : STEP_MS, signal);
+  function waitForNextStep(): Promise<void> {
+    const isSmallFleet = table.size() < SMALL_FLEET_SIZE;
+    return pause(isSmallFleet ? SMALL_FLEET_STEP_MS : STEP_MS, signal);
   }
 
-  function living(inOwnDomain: boolean): string[] {
+  function activeIds(inOwnDomain: boolean): string[] {
     return table
       .allNews()
       .filter(({ status }) => !hasEnded(status))
@@ -80,11 +86,11 @@
   }
 
   function probeNext(step: number): void {
-    const nearId = near.next();
-    if (nearId) void probe(nearId);
-    if (nearId && step % FAR_EVERY !== 0) return;
-    const farId = far.next();
-    if (farId) void probe(farId);
+    const localId = localOrder.next();
+    if (localId) void probe(localId);
+    if (localId && step % STEPS_PER_REMOTE_PROBE !== 0) return;
+    const remoteId = remoteOrder.next();
+    if (remoteId) void probe(remoteId);
   }
 
   async function probe(id: string): Promise<void> {
@@ -98,7 +104,7 @@
     if (answer === null && !signal.aborted) {
       answer = await probeThroughOthers(target, sequence);
     }
-    if (signal.aborted || stoodStillSince(startedAt)) return;
+    if (signal.aborted || wasPausedSince(startedAt)) return;
     setReach(id, answer ?? "none");
     if (answer === null) suspect(id, target);
   }
@@ -113,9 +119,9 @@
   }
 
   /**
-   * When the link between two domains is cut, helpers in this domain fail as
-   * this instance does. One helper from each of several domains finds the way
-   * round the cut, if any domain still sees both.
+   * Chooses helpers from different domains. During a partition between two
+   * domains, helpers in this domain fail as this instance does, while those in
+   * a third domain may reach both sides.
    */
   function helpersFor(target: MemberNews): Address[] {
     const { id, failureDomain } = target.record;
@@ -126,46 +132,50 @@
     for (const news of sample(others, others.length, { random })) {
       byDomain.set(news.record.failureDomain, news);
     }
-    const ofTarget = byDomain.get(failureDomain);
+    const targetDomainHelper = byDomain.get(failureDomain);
     byDomain.delete(failureDomain);
-    const ofOwn = byDomain.get(self.failureDomain);
+    const ownDomainHelper = byDomain.get(self.failureDomain);
     byDomain.delete(self.failureDomain);
-    const thirds = sample([...byDomain.values()], HELPERS - 1, { random });
-    const chosen = [...thirds, ofTarget, ofOwn].filter(
-      (news) => news !== undefined,
-    );
-    return chosen.slice(0, HELPERS).map(({ record }) => record.peer);
+    const thirdDomainHelpers = sample([...byDomain.values()], MAX_HELPERS - 1, {
+      random,
+    });
+    const chosen = [
+      ...thirdDomainHelpers,
+      targetDomainHelper,
+      ownDomainHelper,
+    ].filter((news) => news !== undefined);
+    return chosen.slice(0, MAX_HELPERS).map(({ record }) => record.peer);
   }
 
   function setReach(id: string, reach: Reach): void {
-    const before = table.get(id)?.reach;
+    const previous = table.get(id)?.reach;
     table.setReach(id, reach);
-    if (before === reach || (before === undefined && reach === "direct")) {
+    if (previous === reach || (previous === undefined && reach === "direct")) {
       return;
     }
     log.info("peer_reach", { peer: id, reach });
   }
 
-  /** News that came while the probe waited outweighs its failure. */
+  /** Reports a suspicion, unless newer news arrived during the probe. */
   function suspect(id: string, probed: MemberNews): void {
     const { record } = probed;
-    const now = table.news(id);
-    if (now?.status !== "alive") return;
-    if (now.record.incarnation !== record.incarnation) return;
-    options.judge({ record: now.record, status: "suspect" });
+    const current = table.news(id);
+    if (current?.status !== "alive") return;
+    if (current.record.incarnation !== record.incarnation) return;
+    options.judge({ record: current.record, status: "suspect" });
   }
 
   function declareDead(): void {
-    for (const { record } of table.overdueSuspects(SUSPICION_MS)) {
+    for (const { record } of table.overdueSuspects(SUSPICION_TIMEOUT_MS)) {
       options.judge({ record, status: "dead" });
     }
   }
 
   /**
-   * Two sides of a healed cut hold each other for dead and would never speak
-   * again; a ping now and then to the dead, to seeds and to hints ends that.
+   * Pings seeds, hints and dead members. After a partition has healed, both
+   * sides consider each other dead and would otherwise never rejoin.
    */
-  function greetStrangers(count: number): void {
+  function pingJoinCandidates(count: number): void {
     for (const address of sample(options.strangers(), count, { random })) {
       send({ method: "ping", sequence: 0 }, address);
     }
@@ -173,12 +183,12 @@
 }
 
 /**
- * A process that was frozen finds all its timers due at once, while the
- * answers still wait in the socket: everyone would seem dead. What a probe
- * says that took much longer than planned counts for nothing.
+ * Whether this process was paused during a probe. On resuming, timeouts fire
+ * before the answers in the socket are read, so all members would be suspected.
+ * The result of a probe that took much longer than planned is discarded.
  */
-function stoodStillSince(startedAt: number): boolean {
+function wasPausedSince(startedAt: number): boolean {
   const elapsedMs = performance.now() - startedAt;
   const plannedMs = DIRECT_TIMEOUT_MS + INDIRECT_TIMEOUT_MS;
-  return elapsedMs - plannedMs > LARGEST_LATENESS_MS;
+  return elapsedMs - plannedMs > MAX_LATENESS_MS;
 }
--- a/packages/membership/src/record_order_test.ts
+++ b/packages/membership/src/record_order_test.ts
@@ -2,7 +2,7 @@
 import { expect, test } from "vitest";
 import { isNewer } from "./member_table.ts";
 
-const known: MemberRecord = {
+const baseRecord: MemberRecord = {
   id: "entry-1",
   failureDomain: "a",
   peer: { host: "127.0.0.1", port: 1 },
@@ -13,32 +13,32 @@
 };
 
 /**
- * Datagrams overtake each other. An instance that ended would be listed as
- * alive again by its own late word, and a recall would wait for it.
+ * Datagrams can be reordered. If a late heartbeat of an instance that has ended
+ * were accepted, it would be listed as alive and a recall would wait for it.
  */
 test.each([
-  ["a later heartbeat", { revision: 6 }, {}, true],
-  ["a repeated heartbeat", {}, {}, false],
-  ["a goodbye", { left: true }, {}, true],
+  ["a later heartbeat is newer", { revision: 6 }, {}, true],
+  ["a repeated heartbeat is not newer", {}, {}, false],
+  ["a goodbye is newer than a heartbeat", { left: true }, {}, true],
   [
-    "a late heartbeat does not undo a goodbye",
+    "a late heartbeat is not newer than a goodbye",
     { revision: 9 },
     { left: true },
     false,
   ],
   [
-    "a restart undoes a goodbye",
+    "a restart is newer than a goodbye",
     { incarnation: 3, revision: 0 },
     { left: true },
     true,
   ],
   [
-    "a late heartbeat of the process before a restart",
+    "a late heartbeat of the previous process is not newer",
     { incarnation: 1, revision: 9 },
     {},
     false,
   ],
-])("%s", (_story, next, change, isNews) => {
-  const before = { ...known, ...change };
-  expect(isNewer({ ...known, ...next }, before)).toBe(isNews);
+])("record order: %s", (_case, next, change, expected) => {
+  const current = { ...baseRecord, ...change };
+  expect(isNewer({ ...baseRecord, ...next }, current)).toBe(expected);
 });
--- a/packages/membership/src/relays.ts
+++ b/packages/membership/src/relays.ts
@@ -1,22 +1,22 @@
-/** Probes that this instance makes in the place of another one. */
+/** Probes that this instance makes on behalf of others. */
 import type { Address } from "@rosemarypin/schemas";
 
-/** Requests of more than this many probers at once are dropped. */
-const MOST_RELAYS = 256;
+/** Limit of relayed probes in flight; further requests are dropped. */
+const MAX_RELAYS = 256;
 const RELAY_TIMEOUT_MS = 1_000;
 
 interface Relay {
   readonly asker: Address;
-  /** The asker's own sequence number. */
+  /** Sequence number that the asker gave the probe. */
   readonly sequence: number;
   readonly at: number;
 }
 
-/** Creates the table of probes made for others, by own sequence number. */
+/** Creates the table of relayed probes, by this instance's sequence number. */
 export function createRelays() {
   const relays = new Map<number, Relay>();
 
-  function dropOld(): void {
+  function dropExpired(): void {
     const now = performance.now();
     for (const [key, { at }] of relays) {
       if (now - at > RELAY_TIMEOUT_MS) relays.delete(key);
@@ -24,16 +24,17 @@
   }
 
   return {
-    /** Returns whether there was room. */
+    /** Adds a relayed probe; returns `false` if the limit is reached. */
     add(
       ownSequence: number,
       relay: { readonly asker: Address; readonly sequence: number },
     ): boolean {
-      dropOld();
-      if (relays.size >= MOST_RELAYS) return false;
+      dropExpired();
+      if (relays.size >= MAX_RELAYS) return false;
       relays.set(ownSequence, { ...relay, at: performance.now() });
       return true;
     },
+    /** Removes and returns the relayed probe. */
     take(ownSequence: number): Relay | undefined {
       const relay = relays.get(ownSequence);
       relays.delete(ownSequence);
--- a/packages/membership/src/table_sync.ts
+++ b/packages/membership/src/table_sync.ts
@@ -1,19 +1,19 @@
-/** Finds out where two tables differ, and mends it record by record. */
+/** Anti-entropy: finds where two tables differ and sends missing records. */
 import type { MemberNews, MemberRecord } from "@rosemarypin/schemas";
 import type { ByteBudget } from "./byte_budget.ts";
 import { BUCKETS, bucketOf, hashOf, type MemberTable } from "./member_table.ts";
 import type { Random } from "./probe_order.ts";
 import { LARGEST_DATAGRAM_BYTES, newsBytes } from "./wire.ts";
 
-/** Datagrams that answer one request. */
-const MOST_ANSWERS = 4;
-/** Envelope and head of a datagram, besides the sender's record. */
+/** Limit of datagrams that answer one sync request. */
+const MAX_DATAGRAMS_PER_ANSWER = 4;
+/** Envelope and head of a datagram without the sender's record. */
 const ENVELOPE_BYTES = 110;
-/** Sent of each bucket's hash, so that a digest fits a datagram. */
+/** Bytes sent of each bucket's hash, so that a digest fits in a datagram. */
 const HASH_BYTES = 2;
 const HASH_MASK = 0xffff;
 
-/** Creates the comparison of this instance's table with others. */
+/** Creates the sync of this instance's table with those of others. */
 export function createTableSync(options: {
   readonly table: MemberTable;
   readonly self: () => MemberRecord;
@@ -22,13 +22,13 @@
 }) {
   const { table, self, budget, random } = options;
 
-  /** The table leaves out its owner; a comparison has to count it in. */
+  /** Bucket hashes of the table with this instance's record, which it lacks. */
   function hashes(): Uint32Array {
-    const found = Uint32Array.from(table.hashes());
+    const bucketHashes = Uint32Array.from(table.hashes());
     const own = self();
     const bucket = bucketOf(own.id);
-    found[bucket] = ((found[bucket] ?? 0) ^ hashOf(own)) >>> 0;
-    return found;
+    bucketHashes[bucket] = ((bucketHashes[bucket] ?? 0) ^ hashOf(own)) >>> 0;
+    return bucketHashes;
   }
 
   function shortHashes(): Uint16Array {
@@ -36,43 +36,44 @@
   }
 
   return {
-    /** One number for the whole table. */
+    /** Hash of the whole table. */
     hash(): number {
       return hashes().reduce((sum, hash) => (sum ^ hash) >>> 0, 0);
     },
+    /** Short hashes of all buckets, in base64. */
     digests(): string {
-      const found = shortHashes();
+      const bucketHashes = shortHashes();
       const bytes = Buffer.alloc(BUCKETS * HASH_BYTES);
-      found.forEach((hash, at) => {
-        bytes.writeUInt16LE(hash, at * HASH_BYTES);
+      bucketHashes.forEach((hash, bucket) => {
+        bytes.writeUInt16LE(hash, bucket * HASH_BYTES);
       });
       return bytes.toString("base64");
     },
-    /** Records for one that sent `digests`, in portions of one datagram. */
+    /** Records for the sender of `digests`, in batches of one datagram. */
     answers(digests: string): MemberNews[][] {
-      const others = readDigests(digests);
-      if (!others) return [];
-      const fixed =
+      const remote = readDigests(digests);
+      if (!remote) return [];
+      const fixedBytes =
         ENVELOPE_BYTES + newsBytes({ record: self(), status: "alive" });
-      const portions: MemberNews[][] = [];
-      let portion: MemberNews[] = [];
-      let room = 0;
-      // From a random bucket on, so that askers get whole buckets.
+      const batches: MemberNews[][] = [];
+      let batch: MemberNews[] = [];
+      let bytesLeft = 0;
+      // Starts at a random bucket, so that repeated requests get all buckets.
       const firstBucket = Math.floor(random() * BUCKETS);
-      const ids = table.differing(shortHashes(), others, { firstBucket });
+      const ids = table.differing(shortHashes(), remote, { firstBucket });
       for (const id of ids) {
         const sized = table.sized(id);
         if (!sized || !budget.take(sized.bytes)) break;
-        if (sized.bytes > room) {
-          if (portions.length === MOST_ANSWERS) break;
-          portion = [];
-          portions.push(portion);
-          room = LARGEST_DATAGRAM_BYTES - fixed;
+        if (sized.bytes > bytesLeft) {
+          if (batches.length === MAX_DATAGRAMS_PER_ANSWER) break;
+          batch = [];
+          batches.push(batch);
+          bytesLeft = LARGEST_DATAGRAM_BYTES - fixedBytes;
         }
-        portion.push(sized.news);
-        room -= sized.bytes;
+        batch.push(sized.news);
+        bytesLeft -= sized.bytes;
       }
-      return portions;
+      return batches;
     },
   };
 }
@@ -82,7 +83,7 @@
 function readDigests(text: string): Uint16Array | null {
   const bytes = Buffer.from(text, "base64");
   if (bytes.length !== BUCKETS * HASH_BYTES) return null;
-  return Uint16Array.from({ length: BUCKETS }, (_, at) =>
-    bytes.readUInt16LE(at * HASH_BYTES),
+  return Uint16Array.from({ length: BUCKETS }, (_, bucket) =>
+    bytes.readUInt16LE(bucket * HASH_BYTES),
   );
 }
--- a/packages/membership/src/urgent_news.ts
+++ b/packages/membership/src/urgent_news.ts
@@ -1,15 +1,15 @@
-/** News that goes to a few others at once, and from them to all. */
+/** Gossip of urgent news: sent at once to a few members, who forward it. */
 import type { Address, MemberNews, MemberRecord } from "@rosemarypin/schemas";
 import type { MemberTable } from "./member_table.ts";
 import { type Random, sample } from "./probe_order.ts";
 
-/** Instances of the own domain that are told, and instances in all. */
-const NEAR = 4;
-const ALL = 6;
-/** Time for this instance to apply a new note before it passes on the news. */
-const APPLY_FIRST_MS = 150;
+/** Receivers in the sender's domain, and receivers in total. */
+const LOCAL_FANOUT = 4;
+const FANOUT = 6;
+/** Time for this instance to apply a new note before it forwards the news. */
+const FORWARD_DELAY_MS = 150;
 
-/** Creates the spread of urgent news from one instance. */
+/** Creates the urgent gossip of an instance. */
 export function createUrgentNews(options: {
   readonly failureDomain: string;
   readonly table: MemberTable;
@@ -18,13 +18,13 @@
   readonly signal: AbortSignal;
 }) {
   const { failureDomain, table, random, send, signal } = options;
-  /** The highest note number that this instance has passed on. */
-  let passedNote = 0;
-  /** The highest note number that waits to be passed on. */
-  let waitingNote = 0;
+  /** The highest note number that this instance has gossiped. */
+  let sentNote = 0;
+  /** The highest note number that is due to be gossiped. */
+  let pendingNote = 0;
 
-  /** Every datagram tells of its sender; `news` goes along. */
-  function tell(news: readonly MemberNews[]): void {
+  /** Sends a datagram, which has the sender's record, with `news` added. */
+  function gossip(news: readonly MemberNews[]): void {
     for (const target of targets()) send(news, target);
   }
 
@@ -33,37 +33,37 @@
       .allNews()
       .filter(({ status }) => status === "alive")
       .map(({ record }) => record);
-    const isNear = (record: MemberRecord) =>
+    const isLocal = (record: MemberRecord) =>
       record.failureDomain === failureDomain;
-    const near = sample(alive.filter(isNear), NEAR, { random });
-    const others = alive.filter((record) => !isNear(record));
-    const far = sample(others, ALL - near.length, { random });
-    return [...near, ...far].map(({ peer }) => peer);
+    const local = sample(alive.filter(isLocal), LOCAL_FANOUT, { random });
+    const remoteRecords = alive.filter((record) => !isLocal(record));
+    const remote = sample(remoteRecords, FANOUT - local.length, { random });
+    return [...local, ...remote].map(({ peer }) => peer);
   }
 
   return {
-    tell,
-    /** Tells of this instance's own note; returns whether it is new to it. */
+    tell: gossip,
+    /** Gossips this instance's note; returns `false` if already done. */
     tellOwnNote(note: number): boolean {
-      if (note <= passedNote) return false;
-      passedNote = note;
-      tell([]);
+      if (note <= sentNote) return false;
+      sentNote = note;
+      gossip([]);
       return true;
     },
     /**
-     * Passes the news of a higher note on. Those told first get a moment to
-     * apply it and then tell of it as their own, so that the ones they tell
-     * fetch it from them and not all from the first.
+     * Forwards news of a higher note after a delay. If this instance applies
+     * the note meanwhile, it gossips the note as its own instead, so that
+     * receivers fetch the note from it and not all from the origin.
      */
     passOn(news: MemberNews): void {
       const { note } = news.record.shared;
-      if (note <= Math.max(passedNote, waitingNote)) return;
-      waitingNote = note;
+      if (note <= Math.max(sentNote, pendingNote)) return;
+      pendingNote = note;
       setTimeout(() => {
-        if (note <= passedNote || signal.aborted) return;
-        passedNote = note;
-        tell([news]);
-      }, APPLY_FIRST_MS);
+        if (note <= sentNote || signal.aborted) return;
+        sentNote = note;
+        gossip([news]);
+      }, FORWARD_DELAY_MS);
     },
   };
 }
--- a/packages/membership/src/wire.ts
+++ b/packages/membership/src/wire.ts
@@ -1,4 +1,4 @@
-/** Encodes and decodes datagrams, and keeps them small. */
+/** Encoding and decoding of datagrams. */
 import {
   type MemberNews,
   type PeerDatagram,
@@ -6,12 +6,12 @@
   toTuple,
 } from "@rosemarypin/schemas";
 
-/** A datagram of this size crosses usual links without being fragmented. */
+/** Datagrams up to this size are not fragmented on common links. */
 export const LARGEST_DATAGRAM_BYTES = 1_200;
-/** IPv4 and UDP headers; counted as traffic, since links carry them too. */
+/** Size of IPv4 and UDP headers, which count as traffic. */
 export const HEADER_BYTES = 28;
 
-/** A datagram before its common part is filled in. */
+/** The part of a datagram that depends on its method. */
 export type DatagramBody =
   | { readonly method: "ping"; readonly sequence: number }
   | {
@@ -27,7 +27,7 @@
   | { readonly method: "news" }
   | { readonly method: "sync"; readonly digests: string };
 
-/** The common part of every datagram. */
+/** The part that all datagrams have: sender, table hash and news. */
 export interface DatagramHead {
   readonly from: MemberNews;
   readonly hash: number;
@@ -54,8 +54,8 @@
 }
 
 /**
- * Decodes a datagram; `null` for what is not one. Anything can arrive at an
- * open port, so nothing is taken for granted before the schema has passed it.
+ * Decodes and validates a datagram; `null` if it is malformed or too large, as
+ * anything can arrive at an open port.
  */
 export function decodeDatagram(datagram: Uint8Array): PeerDatagram | null {
   if (datagram.length > LARGEST_DATAGRAM_BYTES) return null;
--- a/packages/membership/src/wire_test.ts
+++ b/packages/membership/src/wire_test.ts
@@ -15,8 +15,8 @@
   },
 };
 
-// Instances of two builds speak to one another while all are replaced one by
-// one. A change of what goes over the wire must show here.
+// Instances of two builds exchange datagrams during a rolling upgrade, so a
+// change of the wire format must fail here.
 it.each([
   { method: "ping", sequence: 7 },
   { method: "ack", sequence: 7, about: "entry-1" },
@@ -27,7 +27,7 @@
   },
   { method: "news" },
   { method: "sync", digests: "AAAA" },
-] as const)("keeps the form of $method", (body) => {
+] as const)("datagram $method keeps its wire format", (body) => {
   const head = { from: NEWS, hash: 99, news: [NEWS] };
   const datagram = encodeDatagram(body, head);
   expect(Buffer.from(datagram).toString()).toMatchSnapshot();
