--- a/packages/membership/src/acknowledgements.ts
+++ b/packages/membership/src/acknowledgements.ts
@@ -13,7 +13,7 @@
 
   return {
     /** Returns the sequence number for a new probe. */
-    next(): number {
+    nextSequence(): number {
       sequence += 1;
       return sequence;
     },
--- a/packages/membership/src/address_book.ts
+++ b/packages/membership/src/address_book.ts
@@ -30,7 +30,7 @@
 
   return {
     /** Seeds and hints without an active member, and addresses of the dead. */
-    strangers(): readonly Address[] {
+    joinCandidates(): readonly Address[] {
       const activeKeys = new Set([keyOf(own)]);
       const dead: Address[] = [];
       for (const { record, status } of table.allNews()) {
--- a/packages/membership/src/datagram_handler.ts
+++ b/packages/membership/src/datagram_handler.ts
@@ -26,7 +26,7 @@
     news?: readonly MemberNews[],
   ) => void;
   /** Sends a datagram with these records only, as they fill it. */
-  readonly sendPortion: (news: readonly MemberNews[], target: Address) => void;
+  readonly sendBatch: (news: readonly MemberNews[], target: Address) => void;
   readonly drop: (reason: string) => void;
 }
 
@@ -47,7 +47,7 @@
     readonly sequence: number;
     readonly target: Address;
   }): void {
-    const sequence = acknowledgements.next();
+    const sequence = acknowledgements.nextSequence();
     if (!relays.add(sequence, request)) return options.drop("too_many_relays");
     send({ method: "ping", sequence }, request.target);
   }
@@ -101,7 +101,7 @@
         return acknowledge(params.sequence, { record, about: params.about });
       case "sync":
         for (const batch of sync.answers(params.digests)) {
-          options.sendPortion(batch, peer);
+          options.sendBatch(batch, peer);
         }
         return;
       case "news":
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -142,7 +142,7 @@
       return true;
     },
     /** Records a datagram from the member itself, with its current load. */
-    hear(record: MemberRecord): void {
+    recordContact(record: MemberRecord): void {
       const entry = entries.get(record.id);
       if (!entry || entry.news.record.incarnation !== record.incarnation) {
         return;
@@ -168,7 +168,7 @@
         .map(({ news }) => news);
     },
     /** Drops records of ended members after their retention. */
-    forget(): void {
+    dropExpired(): void {
       for (const [id, entry] of entries) {
         if (!isExpired(entry)) continue;
         entries.delete(id);
@@ -183,7 +183,7 @@
       return entries.get(id);
     },
     /** Ids in buckets whose hashes differ, ordered from `firstBucket` on. */
-    differing(
+    differingIds(
       local: Uint16Array,
       remote: Uint16Array,
       { firstBucket }: { readonly firstBucket: number },
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -134,12 +134,12 @@
     acknowledgements,
     isNew,
     send,
-    sendPortion: sendBatch,
+    sendBatch,
     drop: (reason) => drop(reason, 0),
   });
 
   transport.onDatagram(receive);
-  for (const address of sample(addressBook.strangers(), INITIAL_PINGS, {
+  for (const address of sample(addressBook.joinCandidates(), INITIAL_PINGS, {
     random,
   })) {
     send({ method: "ping", sequence: 0 }, address);
@@ -150,8 +150,8 @@
     acknowledgements,
     random,
     send,
-    judge: applyVerdict,
-    strangers: addressBook.strangers,
+    onVerdict: applyVerdict,
+    joinCandidates: addressBook.joinCandidates,
     signal,
   });
 
@@ -185,7 +185,7 @@
     const { from, news } = datagram.params;
     applyNews(from);
     if (from.record.id === id) return drop("own_id", bytes.length);
-    table.hear(from.record);
+    table.recordContact(from.record);
     for (const memberNews of news) applyNews(memberNews);
     datagramHandler.answer(datagram);
     if (!from.record.left) notifyListeners(from.record);
@@ -208,7 +208,7 @@
   function goodbyeTargets(): readonly Address[] {
     const active = table.allNews().filter(({ status }) => !hasEnded(status));
     const peers = sample(active, GOODBYE_FANOUT, { random });
-    const candidates = sample(addressBook.strangers(), GOODBYE_FANOUT, {
+    const candidates = sample(addressBook.joinCandidates(), GOODBYE_FANOUT, {
       random,
     });
     const all = [...peers.map(({ record }) => record.peer), ...candidates];
@@ -232,23 +232,23 @@
     if (previous || !isNew()) {
       dissemination.enqueue(record.id, urgencyOf(news, previous));
     }
-    if (isChanged) logChange(news, { restarted: isRestarted });
+    if (isChanged) logChange(news, { isRestarted });
     if (hasEnded(status)) table.setReach(record.id, "none");
-    urgentNews.passOn(news);
+    urgentNews.forwardNote(news);
     notifyListeners(record);
   }
 
   /** Gossips a new suspicion at once, as piggybacking alone would be slow. */
   function applyVerdict(news: MemberNews): void {
     applyNews(news);
-    if (news.status === "suspect") urgentNews.tell([news]);
+    if (news.status === "suspect") urgentNews.gossip([news]);
   }
 
   function logChange(
     { record, status }: MemberNews,
-    { restarted }: { readonly restarted: boolean },
+    { isRestarted }: { readonly isRestarted: boolean },
   ): void {
-    const event = restarted && status === "alive" ? "joined" : status;
+    const event = isRestarted && status === "alive" ? "joined" : status;
     log.info(`peer_${event}`, {
       peer: record.id,
       domain: record.failureDomain,
@@ -271,7 +271,7 @@
   }
 
   function handleNewsOfSelf(news: MemberNews): void {
-    if (ownRecord.hear(news) === "refuted") urgentNews.tell([]);
+    if (ownRecord.handleNews(news) === "refuted") urgentNews.gossip([]);
   }
 
   return {
@@ -279,8 +279,8 @@
     peers: () => table.all(),
     share(change) {
       ownRecord.share(change);
-      const isSent = urgentNews.tellOwnNote(ownRecord.current().shared.note);
-      if (!isSent && change.draining !== undefined) urgentNews.tell([]);
+      const isSent = urgentNews.gossipOwnNote(ownRecord.current().shared.note);
+      if (!isSent && change.draining !== undefined) urgentNews.gossip([]);
     },
     onNews(listener) {
       listeners.add(listener);
--- a/packages/membership/src/own_record.ts
+++ b/packages/membership/src/own_record.ts
@@ -24,7 +24,7 @@
   /** Marks this incarnation as ended. */
   leave(): void;
   /** Takes news of this instance; refutes wrong news by a higher revision. */
-  hear(news: MemberNews): Correction;
+  handleNews(news: MemberNews): Correction;
 }
 
 /** Creates the record of a process that has just started. */
@@ -79,7 +79,7 @@
     leave() {
       record = { ...record, revision: record.revision + 1, left: true };
     },
-    hear({ record: reported, status }) {
+    handleNews({ record: reported, status }) {
       if (record.left || reported.incarnation < record.incarnation)
         return "none";
       if (reported.incarnation > record.incarnation) {
--- a/packages/membership/src/prober.ts
+++ b/packages/membership/src/prober.ts
@@ -19,9 +19,9 @@
 const MAX_LATENESS_MS = 700;
 /** Steps per probe of a member in another domain. */
 const STEPS_PER_REMOTE_PROBE = 2;
-/** Steps per ping of a seed, a hint or a dead member. */
+/** Steps per ping of a join candidate: a seed, a hint or a dead member. */
 const STEPS_PER_JOIN_PING = 5;
-/** Steps after the start that each ping several of these addresses. */
+/** Steps after the start in which more join candidates are pinged. */
 const INITIAL_STEPS = 8;
 const JOIN_PINGS_PER_INITIAL_STEP = 2;
 /** Fleets below this size probe more often, as their traffic is low. */
@@ -38,9 +38,9 @@
   readonly random: Random;
   readonly send: (body: DatagramBody, target: Address) => void;
   /** Called when this instance suspects a member or declares it dead. */
-  readonly judge: (news: MemberNews) => void;
+  readonly onVerdict: (news: MemberNews) => void;
   /** Addresses to ping in order to join or rejoin other instances. */
-  readonly strangers: () => readonly Address[];
+  readonly joinCandidates: () => readonly Address[];
   readonly signal: AbortSignal;
 }
 
@@ -63,7 +63,7 @@
       else if (step % STEPS_PER_JOIN_PING === 0) pingJoinCandidates(1);
       probeNext(step);
       declareDead();
-      table.forget();
+      table.dropExpired();
       await waitForNextStep();
     }
   }
@@ -96,7 +96,7 @@
   async function probe(id: string): Promise<void> {
     const target = table.news(id);
     if (!target) return;
-    const sequence = acknowledgements.next();
+    const sequence = acknowledgements.nextSequence();
     const startedAt = performance.now();
     send({ method: "ping", sequence }, target.record.peer);
     const timeoutMs = DIRECT_TIMEOUT_MS;
@@ -162,12 +162,12 @@
     const current = table.news(id);
     if (current?.status !== "alive") return;
     if (current.record.incarnation !== record.incarnation) return;
-    options.judge({ record: current.record, status: "suspect" });
+    options.onVerdict({ record: current.record, status: "suspect" });
   }
 
   function declareDead(): void {
     for (const { record } of table.overdueSuspects(SUSPICION_TIMEOUT_MS)) {
-      options.judge({ record, status: "dead" });
+      options.onVerdict({ record, status: "dead" });
     }
   }
 
@@ -176,7 +176,7 @@
    * sides consider each other dead and would otherwise never rejoin.
    */
   function pingJoinCandidates(count: number): void {
-    for (const address of sample(options.strangers(), count, { random })) {
+    for (const address of sample(options.joinCandidates(), count, { random })) {
       send({ method: "ping", sequence: 0 }, address);
     }
   }
--- a/packages/membership/src/relays.ts
+++ b/packages/membership/src/relays.ts
@@ -9,7 +9,7 @@
   readonly asker: Address;
   /** Sequence number that the asker gave the probe. */
   readonly sequence: number;
-  readonly at: number;
+  readonly startedAt: number;
 }
 
 /** Creates the table of relayed probes, by this instance's sequence number. */
@@ -18,8 +18,8 @@
 
   function dropExpired(): void {
     const now = performance.now();
-    for (const [key, { at }] of relays) {
-      if (now - at > RELAY_TIMEOUT_MS) relays.delete(key);
+    for (const [key, { startedAt }] of relays) {
+      if (now - startedAt > RELAY_TIMEOUT_MS) relays.delete(key);
     }
   }
 
@@ -31,7 +31,7 @@
     ): boolean {
       dropExpired();
       if (relays.size >= MAX_RELAYS) return false;
-      relays.set(ownSequence, { ...relay, at: performance.now() });
+      relays.set(ownSequence, { ...relay, startedAt: performance.now() });
       return true;
     },
     /** Removes and returns the relayed probe. */
--- a/packages/membership/src/table_sync.ts
+++ b/packages/membership/src/table_sync.ts
@@ -60,7 +60,7 @@
       let bytesLeft = 0;
       // Starts at a random bucket, so that repeated requests get all buckets.
       const firstBucket = Math.floor(random() * BUCKETS);
-      const ids = table.differing(shortHashes(), remote, { firstBucket });
+      const ids = table.differingIds(shortHashes(), remote, { firstBucket });
       for (const id of ids) {
         const sized = table.sized(id);
         if (!sized || !budget.take(sized.bytes)) break;
--- a/packages/membership/src/urgent_news.ts
+++ b/packages/membership/src/urgent_news.ts
@@ -42,9 +42,9 @@
   }
 
   return {
-    tell: gossip,
+    gossip,
     /** Gossips this instance's note; returns `false` if already done. */
-    tellOwnNote(note: number): boolean {
+    gossipOwnNote(note: number): boolean {
       if (note <= sentNote) return false;
       sentNote = note;
       gossip([]);
@@ -55,7 +55,7 @@
      * the note meanwhile, it gossips the note as its own instead, so that
      * receivers fetch the note from it and not all from the origin.
      */
-    passOn(news: MemberNews): void {
+    forwardNote(news: MemberNews): void {
       const { note } = news.record.shared;
       if (note <= Math.max(sentNote, pendingNote)) return;
       pendingNote = note;
