--- a/packages/pipelines/src/layer_planner_test.ts
+++ b/packages/pipelines/src/layer_planner_test.ts
@@ -10,13 +10,13 @@
   layerMb: 1_000,
   tokenLayerBytes: 1_000,
   stepMs: 8,
-  readTokensPerMs: 10,
-  usualPromptTokens: 100,
-  usualAnswerTokens: 100,
-  mostAnswers: 10,
+  prefillTokensPerMs: 10,
+  meanPromptTokens: 100,
+  meanAnswerTokens: 100,
+  maxConcurrentAnswers: 10,
 };
 
-function engine(id: string, change: Partial<PlannedEngine> = {}) {
+function createEngine(id: string, change: Partial<PlannedEngine> = {}) {
   return {
     id,
     failureDomain: "a",
@@ -25,14 +25,14 @@
     readFactor: 1,
     held: null,
     serving: null,
-    orderable: true,
+    acceptsOrders: true,
     ...change,
   };
 }
 
-it("gives the last plan while nothing has changed", () => {
+it("returns the cached layer plan while engines and model are unchanged", () => {
   const plan = createLayerPlanner();
-  const engines = ["1", "2", "3"].map((id) => engine(id));
+  const engines = ["1", "2", "3"].map((id) => createEngine(id));
   const orders = plan(engines, MODEL);
   expect(orders).toEqual(planLayers(engines, MODEL));
   expect(orders.length).toBeGreaterThan(0);
@@ -41,17 +41,19 @@
 
 it.each<[string, Partial<PlannedEngine>]>([
   ["holds other layers", { held: { from: 0, to: 2 } }],
-  ["may not be ordered", { orderable: false }],
-  ["has another size", { memoryMb: 12_000 }],
-])("plans anew when an engine %s", (_name, change) => {
+  ["accepts no orders", { acceptsOrders: false }],
+  ["has a different memory size", { memoryMb: 12_000 }],
+])("computes a new layer plan when an engine %s", (_name, change) => {
   const plan = createLayerPlanner();
-  const engines = ["1", "2", "3"].map((id) => engine(id));
+  const engines = ["1", "2", "3"].map((id) => createEngine(id));
   plan(engines, MODEL);
-  const changed = [engine("1", change), ...engines.slice(1)];
+  const changed = [createEngine("1", change), ...engines.slice(1)];
   expect(plan(changed, MODEL)).toEqual(planLayers(changed, MODEL));
 });
 
-it("plans nothing for engines that others order", () => {
-  const engines = ["1", "2"].map((id) => engine(id, { orderable: false }));
+it("returns no orders for engines that accept none", () => {
+  const engines = ["1", "2"].map((id) =>
+    createEngine(id, { acceptsOrders: false }),
+  );
   expect(planLayers(engines, MODEL)).toEqual([]);
 });
