--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -1,4 +1,4 @@
-/** The members known to an instance, and which of two news of one prevails. */
+/** Table of members, and the rule for which news of a member prevails. */
 import {
   type MemberNews,
   type MemberRecord,
--- a/packages/membership/src/membership.ts
+++ b/packages/membership/src/membership.ts
@@ -75,7 +75,7 @@
 /** The instances of a deployment as seen by one of them. */
 export interface Membership {
   readonly self: () => MemberRecord;
-  /** All known instances other than this one. */
+  /** All other instances in the table, including those that have ended. */
   readonly peers: () => readonly Member[];
   /** Changes the shared state; a higher note or draining is sent at once. */
   readonly share: (change: Partial<SharedState>) => void;
--- a/packages/placement/src/control_lease.ts
+++ b/packages/placement/src/control_lease.ts
@@ -21,7 +21,7 @@
 }
 
 const DEFAULT_TIMES: LeaseTimes = { durationMs: 6_000, stepEveryMs: 2_000 };
-/** Interval at which an instance that is no candidate checks again. */
+/** Interval at which an instance checks whether it became a candidate. */
 const CANDIDACY_CHECK_MS = 500;
 /**
  * The holder stops ordering this long before its lease ends: an order in
--- a/packages/placement/src/engine_controller_test.ts
+++ b/packages/placement/src/engine_controller_test.ts
@@ -168,7 +168,7 @@
   it("are refused when late, even from the same lease holder", async () => {
     // The holder's order for note 1 is delayed in the network and arrives after
     // the one for note 2. If fencing numbers counted leases only, both would be
-    // equal and the engine would hold v1 again.
+    // equal and the engine would accept the order for v1.
     const engine = createEngine({ checks: true });
     const { hold, apply } = startController(engine);
     hold(1);
--- a/packages/placement/src/placed_state.ts
+++ b/packages/placement/src/placed_state.ts
@@ -49,8 +49,9 @@
 }
 
 /**
- * Above the number of pipelines of a model, so that all of them load a
- * preferred version before any loads the next one.
+ * Difference in load priority between versions of successive preference. It
+ * exceeds the number of pipelines of a model, so that loads of a preferred
+ * version for all pipelines come before those of the next version.
  */
 const PRIORITY_RANK_STEP = 1_000;
 
