--- a/packages/calls/src/answer.ts
+++ b/packages/calls/src/answer.ts
@@ -6,9 +6,9 @@
 import { createLogger, type Metrics } from "@rosemarypin/telemetry";
 import { runAttempt } from "./answer_attempt.ts";
 import type { AttemptEnd } from "./answer_attempt_state.ts";
+import { acquireEngines } from "./answer_engine_acquisition.ts";
 import type { AnswerEvent } from "./answer_event.ts";
 import { gaveUp, takenOver } from "./answer_failure.ts";
-import { acquireEngines } from "./answer_grant.ts";
 import { createLinkSpeeds, type LinkSpeeds } from "./answer_link_speeds.ts";
 import {
   createTokenPace,
@@ -21,13 +21,13 @@
   giveBack,
   type Move,
   type MoveLimits,
-} from "./answer_move.ts";
+} from "./answer_migration.ts";
 import {
   emptyProgress,
   type Progress,
   provenanceOf,
 } from "./answer_progress.ts";
-import type { RecoveryLimiter } from "./answer_recovery.ts";
+import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 import { chooseVersion } from "./answer_version.ts";
 import type { CallFailure } from "./call_failure.ts";
 
--- a/packages/calls/src/answer_attempt.ts
+++ b/packages/calls/src/answer_attempt.ts
@@ -9,10 +9,10 @@
   mayGoOn,
   type RunningAttempt,
 } from "./answer_attempt_state.ts";
+import { addImports } from "./answer_cache_import.ts";
 import type { AnswerEvent } from "./answer_event.ts";
-import { addImports } from "./answer_import.ts";
 import { readIncarnations } from "./answer_liveness.ts";
-import { createMover } from "./answer_move.ts";
+import { createMover } from "./answer_migration.ts";
 import { describeAttempt, rememberCaches } from "./answer_progress.ts";
 
 /** Runs an attempt; stages that are lost on the way are noted. */
--- a/packages/calls/src/answer_attempt_events.ts
+++ b/packages/calls/src/answer_attempt_events.ts
@@ -5,11 +5,11 @@
   mayGoOn,
   type RunningAttempt,
 } from "./answer_attempt_state.ts";
+import { noteImported, noteNoCache } from "./answer_cache_import.ts";
 import type { AnswerEvent } from "./answer_event.ts";
-import { noteImported, noteNoCache } from "./answer_import.ts";
 import { createEventReader } from "./answer_liveness.ts";
-import { createTokenOrder, type TokenEvent } from "./answer_order.ts";
-import { lookIntoSilence } from "./answer_silence.ts";
+import { lookIntoSilence } from "./answer_stall.ts";
+import { createTokenOrder, type TokenEvent } from "./answer_token_order.ts";
 
 const CANCELLED: AttemptEnd = { kind: "retry", reason: "cancelled" };
 
--- a/packages/calls/src/answer_attempt_state.ts
+++ b/packages/calls/src/answer_attempt_state.ts
@@ -6,9 +6,9 @@
 import type { Metrics } from "@rosemarypin/telemetry";
 import type { LinkSpeeds } from "./answer_link_speeds.ts";
 import type { LivenessLimits, TokenPace } from "./answer_liveness.ts";
-import type { Move, MoveLimits, Mover } from "./answer_move.ts";
+import type { Move, MoveLimits, Mover } from "./answer_migration.ts";
 import type { Progress } from "./answer_progress.ts";
-import type { RecoveryLimiter } from "./answer_recovery.ts";
+import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 /** How one attempt ended. */
 export type AttemptEnd =
--- a/packages/calls/src/answer_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -7,7 +7,7 @@
   cacheBytesOf,
   chooseImports,
   linkEndOf,
-} from "./answer_import_choice.ts";
+} from "./answer_cache_import_plan.ts";
 import type { Link, LinkSpeeds } from "./answer_link_speeds.ts";
 import type { Progress } from "./answer_progress.ts";
 
--- a/packages/calls/src/answer_import_choice_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -1,7 +1,7 @@
 import type { KnownEngine } from "@rosemarypin/backends";
 import type { LayerRange, Stage } from "@rosemarypin/schemas";
 import { expect, test } from "vitest";
-import { chooseImports } from "./answer_import_choice.ts";
+import { chooseImports } from "./answer_cache_import_plan.ts";
 
 const RANGES = [
   { from: 0, to: 10 },
--- a/packages/calls/src/answer_move.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -4,9 +4,9 @@
 import type { AnswerRequest, AttemptRequest } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 import type { TokenPace } from "./answer_liveness.ts";
+import { findWorse, type WorseEngines } from "./answer_migration_sources.ts";
 import type { Progress } from "./answer_progress.ts";
-import type { RecoveryLimiter } from "./answer_recovery.ts";
-import { findWorse, type WorseEngines } from "./answer_worse.ts";
+import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 /** When an answer is moved. */
 export interface MoveLimits {
--- a/packages/calls/src/answer_worse_test.ts
+++ b/packages/calls/src/answer_migration_sources_test.ts
@@ -1,7 +1,7 @@
 import type { KnownEngine } from "@rosemarypin/backends";
 import { scriptedAddress, scriptedState } from "@rosemarypin/fakes";
 import { expect, test } from "vitest";
-import { findWorse } from "./answer_worse.ts";
+import { findWorse } from "./answer_migration_sources.ts";
 
 const LAYERS = { from: 0, to: 4 };
 
--- a/packages/calls/src/answer_move_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -17,9 +17,9 @@
 import type { AnswerEvent } from "./answer_event.ts";
 import { createLinkSpeeds } from "./answer_link_speeds.ts";
 import { createTokenPace, defaultLiveness } from "./answer_liveness.ts";
-import { createMover } from "./answer_move.ts";
+import { createMover } from "./answer_migration.ts";
 import { emptyProgress } from "./answer_progress.ts";
-import { createRecoveryLimiter } from "./answer_recovery.ts";
+import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 const SPEED = {
   batchMs: 2,
--- a/packages/calls/src/answer_recovery_test.ts
+++ b/packages/calls/src/answer_recovery_limiter_test.ts
@@ -1,5 +1,5 @@
 import { expect, test } from "vitest";
-import { createRecoveryLimiter } from "./answer_recovery.ts";
+import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 const never = new AbortController().signal;
 
--- a/packages/calls/src/answer_resume_test.ts
+++ b/packages/calls/src/answer_resume_test.ts
@@ -16,7 +16,7 @@
 import { afterEach, beforeEach, expect, test } from "vitest";
 import { runAnswer } from "./answer.ts";
 import type { AnswerEvent } from "./answer_event.ts";
-import { createRecoveryLimiter } from "./answer_recovery.ts";
+import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
 import {
   formatEventId,
   parseEventId,
--- a/packages/calls/src/answer_test.ts
+++ b/packages/calls/src/answer_test.ts
@@ -18,7 +18,7 @@
 import { describe, expect, test } from "vitest";
 import { type AnswerDependencies, runAnswer } from "./answer.ts";
 import type { AnswerEvent } from "./answer_event.ts";
-import { createRecoveryLimiter } from "./answer_recovery.ts";
+import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 const STAGE_PORTS = [
   [11, 12],
--- a/packages/calls/src/answer_order_test.ts
+++ b/packages/calls/src/answer_token_order_test.ts
@@ -1,6 +1,6 @@
 import fc from "fast-check";
 import { expect, test } from "vitest";
-import { createTokenOrder, type TokenEvent } from "./answer_order.ts";
+import { createTokenOrder, type TokenEvent } from "./answer_token_order.ts";
 
 function token(index: number): TokenEvent {
   return { type: "token", attempt: 1, index, text: `w${index}`, digest: "" };
