--- a/packages/calls/src/answer_cache_import_plan_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -1,6 +1,6 @@
 import type { KnownEngine } from "@rosemarypin/backends";
 import type { LayerRange, Stage } from "@rosemarypin/schemas";
-import { expect, test } from "vitest";
+import { describe, expect, it } from "vitest";
 import { chooseImports } from "./answer_cache_import_plan.ts";
 
 const RANGES = [
@@ -75,32 +75,34 @@
   });
 }
 
-/**
- * Recompute of the last stage costs 200 x 24 x 10 us = 48 ms, since all stages
- * before it must run again; its cache has 1 MB. The first stage alone costs 20
- * ms, and has 2 MB.
- */
-test.each([
-  ["last stage, fast link", [2], 1e8, ["new-2 from old-2 in 50"]],
-  ["last stage, 20 ms on the link", [2], 5e7, ["new-2 from old-2 in 50"]],
-  ["last stage, 50 ms on the link", [2], 2e7, []],
-  ["first stage, fast link", [0], 2e8, ["new-0 from old-0 in 50"]],
-  ["first stage, 40 ms on the link", [0], 5e7, []],
-  [
-    "first and last, the first recomputes",
-    [0, 2],
-    5e7,
-    ["new-2 from old-2 in 50"],
-  ],
-  ["no stage is missing", [], 1e9, []],
-])("%s", (_name, missing, bytesPerSecond, expected) => {
-  expect(choose({ missing, bytesPerSecond })).toEqual(expected);
-});
+describe("cache import plan", () => {
+  /**
+   * Recompute of the last stage costs 200 x 24 x 10 us = 48 ms, since all stages
+   * before it must run again; its cache has 1 MB. The first stage alone costs 20
+   * ms, and has 2 MB.
+   */
+  it.each([
+    ["last stage, fast link", [2], 1e8, ["new-2 from old-2 in 50"]],
+    ["last stage, 20 ms on the link", [2], 5e7, ["new-2 from old-2 in 50"]],
+    ["last stage, 50 ms on the link", [2], 2e7, []],
+    ["first stage, fast link", [0], 2e8, ["new-0 from old-0 in 50"]],
+    ["first stage, 40 ms on the link", [0], 5e7, []],
+    [
+      "first and last, the first recomputes",
+      [0, 2],
+      5e7,
+      ["new-2 from old-2 in 50"],
+    ],
+    ["no stage is missing", [], 1e9, []],
+  ])("%s", (_name, missing, bytesPerSecond, expected) => {
+    expect(choose({ missing, bytesPerSecond })).toEqual(expected);
+  });
 
-/** Layers that nobody holds are recomputed, with all before them. */
-test("a stage before one that must recompute imports nothing", () => {
-  const [first = { from: 0, to: 1 }] = RANGES;
-  const link = { bytesPerSecond: 1e9, holders: [first] };
-  expect(choose({ missing: [0, 2], ...link })).toEqual([]);
-  expect(choose({ missing: [0], ...link })).toHaveLength(1);
+  /** Layers that nobody holds are recomputed, with all before them. */
+  it("a stage before one that must recompute imports nothing", () => {
+    const [first = { from: 0, to: 1 }] = RANGES;
+    const link = { bytesPerSecond: 1e9, holders: [first] };
+    expect(choose({ missing: [0, 2], ...link })).toEqual([]);
+    expect(choose({ missing: [0], ...link })).toHaveLength(1);
+  });
 });
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -12,7 +12,7 @@
   expectedAnswer,
   startEngineGroup,
 } from "@rosemarypin/stand_ins";
-import { afterEach, beforeEach, expect, test, vi } from "vitest";
+import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { runAnswer } from "./answer.ts";
 import type { AnswerEvent } from "./answer_event.ts";
 import { createLinkSpeeds } from "./answer_link_speeds.ts";
@@ -136,7 +136,7 @@
     events.push(event);
     if (event.type === "token" && event.index === LEAVE_AT) await leave();
   }
-  return { ...describe(events), leaving };
+  return { ...summarize(events), leaving };
 
   async function leave(): Promise<void> {
     const from = stage * 4;
@@ -150,7 +150,7 @@
   }
 }
 
-function describe(events: readonly AnswerEvent[]) {
+function summarize(events: readonly AnswerEvent[]) {
   const last = events.at(-1);
   const tokens = events.flatMap((event) =>
     event.type === "token" ? [event.text] : [],
@@ -183,134 +183,147 @@
   return new Promise((resolve) => setTimeout(resolve, durationMs));
 }
 
-/**
- * A planner's long draft runs on an engine that is to be replaced. Left there,
- * it holds the engine up until its grace ends and is cut then. So it moves on,
- * with its KV cache: no position runs again, and the planner sees one answer.
- */
-test.each([0, 1])("moves off a leaving engine of stage %i", async (stage) => {
-  await startEngines(2);
-  const { leaving, ...answer } = await runWhileLeaving(stage);
-  expect(answer).toEqual(expected());
-  const onLeaving = group.journal.filter(({ engine }) => engine === leaving);
-  expect(new Set(onLeaving.map(({ attempt }) => attempt))).toEqual(
-    new Set([1]),
-  );
-  const moved = group.journal.filter(({ imported }) => imported);
-  expect(moved).toMatchObject([{ attempt: 2, imported: { engine: leaving } }]);
-  const start = moved[0]?.position ?? 0;
-  expect(start).toBeGreaterThan(LEAVE_AT);
-  for (const from of [0, 4]) {
-    const positions = positionsOf(2, from);
-    expect(positions).toEqual(positions.map((_, index) => start + index));
-  }
-});
+describe("migration", () => {
+  /**
+   * A planner's long draft runs on an engine that is to be replaced. Left there,
+   * it holds the engine up until its grace ends and is cut then. So it moves on,
+   * with its KV cache: no position runs again, and the planner sees one answer.
+   */
+  it.each([0, 1])("moves off a leaving engine of stage %i", async (stage) => {
+    await startEngines(2);
+    const { leaving, ...answer } = await runWhileLeaving(stage);
+    expect(answer).toEqual(expected());
+    const onLeaving = group.journal.filter(({ engine }) => engine === leaving);
+    expect(new Set(onLeaving.map(({ attempt }) => attempt))).toEqual(
+      new Set([1]),
+    );
+    const moved = group.journal.filter(({ imported }) => imported);
+    expect(moved).toMatchObject([
+      { attempt: 2, imported: { engine: leaving } },
+    ]);
+    const start = moved[0]?.position ?? 0;
+    expect(start).toBeGreaterThan(LEAVE_AT);
+    for (const from of [0, 4]) {
+      const positions = positionsOf(2, from);
+      expect(positions).toEqual(positions.map((_, index) => start + index));
+    }
+  });
 
-/**
- * The transfer breaks. The answer must neither be cut nor try the same again:
- * the next attempt recomputes.
- */
-test("recomputes when the transfer breaks", async () => {
-  await startEngines(2);
-  exportBreaks = true;
-  const { leaving, ...answer } = await runWhileLeaving(1);
-  expect(answer).toEqual(expected());
-  expect(group.journal.filter(({ imported }) => imported)).toEqual([]);
-  expect(positionsOf(3, 0)[0]).toBe(0);
-  expect(group.journal.some(({ attempt }) => attempt > 3)).toBe(false);
-  expect(leaving).not.toBe("");
-});
+  /**
+   * The transfer breaks. The answer must neither be cut nor try the same again:
+   * the next attempt recomputes.
+   */
+  it("recomputes when the transfer breaks", async () => {
+    await startEngines(2);
+    exportBreaks = true;
+    const { leaving, ...answer } = await runWhileLeaving(1);
+    expect(answer).toEqual(expected());
+    expect(group.journal.filter(({ imported }) => imported)).toEqual([]);
+    expect(positionsOf(3, 0)[0]).toBe(0);
+    expect(group.journal.some(({ attempt }) => attempt > 3)).toBe(false);
+    expect(leaving).not.toBe("");
+  });
 
-/**
- * The only engine with its layers leaves. Given up before others are held, the
- * answer would be cut, though the engine would have served it to its end.
- */
-test("stays when no other engine has the layers", async () => {
-  await startEngines(1);
-  const { leaving, ...answer } = await runWhileLeaving(1);
-  expect(answer).toEqual(expected());
-  expect(new Set(group.journal.map(({ attempt }) => attempt))).toEqual(
-    new Set([1]),
-  );
-  expect(leaving).not.toBe("");
-});
+  /**
+   * The only engine with its layers leaves. Given up before others are held, the
+   * answer would be cut, though the engine would have served it to its end.
+   */
+  it("stays when no other engine has the layers", async () => {
+    await startEngines(1);
+    const { leaving, ...answer } = await runWhileLeaving(1);
+    expect(answer).toEqual(expected());
+    expect(new Set(group.journal.map(({ attempt }) => attempt))).toEqual(
+      new Set([1]),
+    );
+    expect(leaving).not.toBe("");
+  });
 
-test("stays when the answer is about to end", async () => {
-  await startEngines(2);
-  const { digest } = await runWhileLeaving(1, { restMs: 60_000 });
-  expect(digest).toBe(expected().digest);
-  expect(group.journal.every(({ attempt }) => attempt === 1)).toBe(true);
-});
+  it("stays when the answer is about to end", async () => {
+    await startEngines(2);
+    const { digest } = await runWhileLeaving(1, { restMs: 60_000 });
+    expect(digest).toBe(expected().digest);
+    expect(group.journal.every(({ attempt }) => attempt === 1)).toBe(true);
+  });
 
-/**
- * The link of one engine degrades in the middle of an answer: each token comes
- * 100 ms later, though every engine answers its probes. The answer goes on
- * over another engine, whole.
- */
-test("moves off an engine whose link is slow", async () => {
-  await startEngines(2);
-  const slowed = await runWhileLeaving(1, { linkMs: 100 });
-  const { leaving, ...answer } = slowed;
-  expect(answer).toEqual(expected());
-  const last = group.journal.findLast(({ from }) => from === 4);
-  expect(last?.engine).not.toBe(leaving);
-});
+  /**
+   * The link of one engine degrades in the middle of an answer: each token comes
+   * 100 ms later, though every engine answers its probes. The answer goes on
+   * over another engine, whole.
+   */
+  it("moves off an engine whose link is slow", async () => {
+    await startEngines(2);
+    const slowed = await runWhileLeaving(1, { linkMs: 100 });
+    const { leaving, ...answer } = slowed;
+    expect(answer).toEqual(expected());
+    const last = group.journal.findLast(({ from }) => from === 4);
+    expect(last?.engine).not.toBe(leaving);
+  });
 
-/**
- * Callers stop to read while their answers move off an engine. Each held move
- * has one of eight turns: kept, they would hold up every answer that has lost a
- * stage, for as long as those callers like.
- */
-test("a move that is not taken is given back", async () => {
-  await startEngines(1);
-  const [first] = group.engines;
-  if (!first) throw new Error("there is an engine");
-  const engines = createEngineClient();
-  fleet = createEngineFleet({ engines: group.engines, client: engines });
-  const state = await engines.readState(first.address);
-  if (!state) throw new Error("the engine answers");
-  vi.useFakeTimers();
-  const leaving = { ...state, leaving: true };
-  const known = { settings: first, usable: false, inFlight: 0, state: leaving };
-  const layers = { from: 0, to: 8 };
-  const stage = { engine: first.id, address: first.address, layers };
-  const released = vi.fn();
-  const limiter = createRecoveryLimiter({ atOnce: 1 });
-  const progress = emptyProgress();
-  progress.version =
-    serveVersions({
-      number: 1,
-      model: "assist",
-      versions: ["v1"],
-      layers: LAYERS,
-    }).catalogue.models.assist?.versions.v1 ?? null;
-  const mover = createMover({
-    request: request(),
-    attempt: {
-      ...request(),
-      promptTokens: [],
-      attempt: 1,
-      version: "v1",
-      noteNumber: 1,
-      stages: [stage],
-      deliveredTokens: [],
-    },
-    progress,
-    fleet: { engines: () => [known] },
-    router: {
-      async acquire() {
-        const grant = { stages: [stage], observeToken() {}, release: released };
-        return { kind: "granted", grant };
+  /**
+   * Callers stop to read while their answers move off an engine. Each held move
+   * has one of eight turns: kept, they would hold up every answer that has lost a
+   * stage, for as long as those callers like.
+   */
+  it("a move that is not taken is given back", async () => {
+    await startEngines(1);
+    const [first] = group.engines;
+    if (!first) throw new Error("there is an engine");
+    const engines = createEngineClient();
+    fleet = createEngineFleet({ engines: group.engines, client: engines });
+    const state = await engines.readState(first.address);
+    if (!state) throw new Error("the engine answers");
+    vi.useFakeTimers();
+    const leaving = { ...state, leaving: true };
+    const known = {
+      settings: first,
+      usable: false,
+      inFlight: 0,
+      state: leaving,
+    };
+    const layers = { from: 0, to: 8 };
+    const stage = { engine: first.id, address: first.address, layers };
+    const released = vi.fn();
+    const limiter = createRecoveryLimiter({ atOnce: 1 });
+    const progress = emptyProgress();
+    progress.version =
+      serveVersions({
+        number: 1,
+        model: "assist",
+        versions: ["v1"],
+        layers: LAYERS,
+      }).catalogue.models.assist?.versions.v1 ?? null;
+    const mover = createMover({
+      request: request(),
+      attempt: {
+        ...request(),
+        promptTokens: [],
+        attempt: 1,
+        version: "v1",
+        noteNumber: 1,
+        stages: [stage],
+        deliveredTokens: [],
       },
-    },
-    recoveries: limiter,
-    pace: createTokenPace(defaultLiveness),
-    moves: { restMs: 0, slowMs: SLOW_MS, lookMs: 0 },
+      progress,
+      fleet: { engines: () => [known] },
+      router: {
+        async acquire() {
+          const grant = {
+            stages: [stage],
+            observeToken() {},
+            release: released,
+          };
+          return { kind: "granted", grant };
+        },
+      },
+      recoveries: limiter,
+      pace: createTokenPace(defaultLiveness),
+      moves: { restMs: 0, slowMs: SLOW_MS, lookMs: 0 },
+    });
+    expect(mover.ready()).toBeNull();
+    await vi.advanceTimersByTimeAsync(0);
+    const next = limiter.takeTurn("interactive", new AbortController().signal);
+    await vi.advanceTimersByTimeAsync(1_000);
+    expect(released).toHaveBeenCalledOnce();
+    expect(await next).not.toBeNull();
   });
-  expect(mover.ready()).toBeNull();
-  await vi.advanceTimersByTimeAsync(0);
-  const next = limiter.takeTurn("interactive", new AbortController().signal);
-  await vi.advanceTimersByTimeAsync(1_000);
-  expect(released).toHaveBeenCalledOnce();
-  expect(await next).not.toBeNull();
 });
--- a/packages/calls/src/answer_resume_test.ts
+++ b/packages/calls/src/answer_resume_test.ts
@@ -13,7 +13,7 @@
   startEngineGroup,
 } from "@rosemarypin/stand_ins";
 import fc from "fast-check";
-import { afterEach, beforeEach, expect, test } from "vitest";
+import { afterEach, beforeEach, describe, expect, it } from "vitest";
 import { runAnswer } from "./answer.ts";
 import type { AnswerEvent } from "./answer_event.ts";
 import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
@@ -148,108 +148,116 @@
   );
 }
 
-/**
- * The entry instance dies after four tokens. The clerk's program reconnects
- * to another one and names the last event that it read: the rest must come,
- * no token lost or doubled, and the prompt must not be computed again.
- */
-test("another instance goes on after the last event", async () => {
-  const before = await cutAfter(4, await startInstance());
-  const after = await resumeAt(3);
-  if (typeof after === "string") throw new Error(after);
-  expect(texts([...before, ...after])).toEqual(expected.tokens);
-  const last = after.at(-1);
-  expect(last?.type === "done" && last.provenance.digest).toBe(expected.digest);
-  const prompts = group.journal.filter(({ position }) => position === 0);
-  expect(prompts).toHaveLength(2);
-});
+describe("resume", () => {
+  /**
+   * The entry instance dies after four tokens. The clerk's program reconnects
+   * to another one and names the last event that it read: the rest must come,
+   * no token lost or doubled, and the prompt must not be computed again.
+   */
+  it("another instance goes on after the last event", async () => {
+    const before = await cutAfter(4, await startInstance());
+    const after = await resumeAt(3);
+    if (typeof after === "string") throw new Error(after);
+    expect(texts([...before, ...after])).toEqual(expected.tokens);
+    const last = after.at(-1);
+    expect(last?.type === "done" && last.provenance.digest).toBe(
+      expected.digest,
+    );
+    const prompts = group.journal.filter(({ position }) => position === 0);
+    expect(prompts).toHaveLength(2);
+  });
 
-/**
- * The engine had sent more tokens than the clerk's program got before the
- * connection broke; those in between must be sent again from what is kept.
- */
-test("tokens that got lost on the way are sent again", async () => {
-  await cutAfter(6, await startInstance());
-  const after = await resumeAt(1);
-  if (typeof after === "string") throw new Error(after);
-  expect(texts(after)).toEqual(expected.tokens.slice(2));
-});
+  /**
+   * The engine had sent more tokens than the clerk's program got before the
+   * connection broke; those in between must be sent again from what is kept.
+   */
+  it("tokens that got lost on the way are sent again", async () => {
+    await cutAfter(6, await startInstance());
+    const after = await resumeAt(1);
+    if (typeof after === "string") throw new Error(after);
+    expect(texts(after)).toEqual(expected.tokens.slice(2));
+  });
 
-/** The last event was lost with its connection, after the answer's end. */
-test("an answer that ended is still there for a while", async () => {
-  await cutAfter(expected.tokens.length, await startInstance());
-  const after = await resumeAt(expected.tokens.length - 2);
-  if (typeof after === "string") throw new Error(after);
-  expect(texts(after)).toEqual(expected.tokens.slice(-1));
-  expect(after.at(-1)?.type).toBe("done");
-});
+  /** The last event was lost with its connection, after the answer's end. */
+  it("an answer that ended is still there for a while", async () => {
+    await cutAfter(expected.tokens.length, await startInstance());
+    const after = await resumeAt(expected.tokens.length - 2);
+    if (typeof after === "string") throw new Error(after);
+    expect(texts(after)).toEqual(expected.tokens.slice(-1));
+    expect(after.at(-1)?.type).toBe("done");
+  });
 
-/**
- * Ids of requests turn up in logs and mails. Someone of another organisation
- * who sends one must not get the answer, nor learn that there is one.
- */
-test("another organisation gets nothing", async () => {
-  await cutAfter(4, await startInstance());
-  expect(await resumeAt(3, { organisation: "lagos" })).toBe("answer_lost");
-});
+  /**
+   * Ids of requests turn up in logs and mails. Someone of another organisation
+   * who sends one must not get the answer, nor learn that there is one.
+   */
+  it("another organisation gets nothing", async () => {
+    await cutAfter(4, await startInstance());
+    expect(await resumeAt(3, { organisation: "lagos" })).toBe("answer_lost");
+  });
 
-/** The version is recalled between the cut and the caller's return. */
-test("the rest of a withdrawn answer is not given", async () => {
-  await cutAfter(4, await startInstance());
-  keeper.set(serve(2, ["v2"]));
-  expect(await resumeAt(3)).toBe("withdrawn");
-});
+  /** The version is recalled between the cut and the caller's return. */
+  it("the rest of a withdrawn answer is not given", async () => {
+    await cutAfter(4, await startInstance());
+    keeper.set(serve(2, ["v2"]));
+    expect(await resumeAt(3)).toBe("withdrawn");
+  });
 
-/**
- * The instance has lost store and peers for longer than it may serve. The
- * engine still has the answer, whose version may be withdrawn by now.
- */
-test("nothing is given by an instance whose note does not hold", async () => {
-  await cutAfter(4, await startInstance());
-  keeper.fresh = async () => null;
-  expect(await resumeAt(2)).toBe("no_release_note");
-});
+  /**
+   * The instance has lost store and peers for longer than it may serve. The
+   * engine still has the answer, whose version may be withdrawn by now.
+   */
+  it("nothing is given by an instance whose note does not hold", async () => {
+    await cutAfter(4, await startInstance());
+    keeper.fresh = async () => null;
+    expect(await resumeAt(2)).toBe("no_release_note");
+  });
 
-/** The first engine was restarted, and the answer is gone with its memory. */
-test("an answer that is gone gets a clear end at once", async () => {
-  await cutAfter(4, await startInstance());
-  group.kill("engine-1-1");
-  await group.restart("engine-1-1");
-  expect(await resumeAt(3)).toBe("answer_lost");
-});
+  /** The first engine was restarted, and the answer is gone with its memory. */
+  it("an answer that is gone gets a clear end at once", async () => {
+    await cutAfter(4, await startInstance());
+    group.kill("engine-1-1");
+    await group.restart("engine-1-1");
+    expect(await resumeAt(3)).toBe("answer_lost");
+  });
 
-/** A caller's program counts wrong. */
-test("an event id ahead of the answer is refused", async () => {
-  await cutAfter(4, await startInstance());
-  expect(await resumeAt(11)).toBe("bad_event_id");
+  /** A caller's program counts wrong. */
+  it("an event id ahead of the answer is refused", async () => {
+    await cutAfter(4, await startInstance());
+    expect(await resumeAt(11)).toBe("bad_event_id");
+  });
 });
 
-/**
- * A mechanic closes the page in the middle of an answer. From then on no
- * stage may spend time on it.
- */
-test("no stage works for a caller that left", async () => {
-  await cutAfter(3, await startInstance());
-  const watching = await startInstance();
-  await until(() =>
-    watching.fleet.engines().every(({ state }) => state?.load === 0),
-  );
-  const runs = group.journal.length;
-  await new Promise((resolve) => setTimeout(resolve, 200));
-  expect(group.journal.length).toBe(runs);
-  expect(runs).toBeLessThan(2 * expected.tokens.length);
+describe("running answer", () => {
+  /**
+   * A mechanic closes the page in the middle of an answer. From then on no
+   * stage may spend time on it.
+   */
+  it("no stage works for a caller that left", async () => {
+    await cutAfter(3, await startInstance());
+    const watching = await startInstance();
+    await until(() =>
+      watching.fleet.engines().every(({ state }) => state?.load === 0),
+    );
+    const runs = group.journal.length;
+    await new Promise((resolve) => setTimeout(resolve, 200));
+    expect(group.journal.length).toBe(runs);
+    expect(runs).toBeLessThan(2 * expected.tokens.length);
+  });
 });
 
-/** What is sent as an id must be read back as the same place. */
-test("event ids survive the way to the caller and back", () => {
-  const name = fc.stringMatching(/^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/);
-  const ids = fc.record({
-    requestId: fc.uuid(),
-    engine: name,
-    index: fc.integer({ min: 0, max: 4_096 }),
-  });
-  const property = fc.property(ids, (id) => {
-    expect(parseEventId(formatEventId(id))).toEqual(id);
+describe("event id", () => {
+  /** What is sent as an id must be read back as the same place. */
+  it("event ids survive the way to the caller and back", () => {
+    const name = fc.stringMatching(/^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/);
+    const ids = fc.record({
+      requestId: fc.uuid(),
+      engine: name,
+      index: fc.integer({ min: 0, max: 4_096 }),
+    });
+    const property = fc.property(ids, (id) => {
+      expect(parseEventId(formatEventId(id))).toEqual(id);
+    });
+    fc.assert(property, { seed: 20_262 });
   });
-  fc.assert(property, { seed: 20_262 });
 });
--- a/packages/calls/src/answer_token_order_test.ts
+++ b/packages/calls/src/answer_token_order_test.ts
@@ -1,48 +1,50 @@
 import fc from "fast-check";
-import { expect, test } from "vitest";
+import { describe, expect, it } from "vitest";
 import { createTokenOrder, type TokenEvent } from "./answer_token_order.ts";
 
 function token(index: number): TokenEvent {
   return { type: "token", attempt: 1, index, text: `w${index}`, digest: "" };
 }
 
-/**
- * A planner's draft reads "move ten to ten Mtwara": a token came twice after
- * a network fault, another came late. Whatever the order in which tokens
- * come, and however often, they leave in order, each once.
- */
-test("tokens leave in order, each once", () => {
-  const seed = Number(process.env.SEED ?? 20_261);
-  console.log(`seed ${seed}`);
-  const arrivals = fc.integer({ min: 1, max: 40 }).chain((count) =>
-    fc
-      .array(fc.integer({ min: 0, max: count - 1 }), { maxLength: 40 })
-      .chain((repeats) =>
-        fc.shuffledSubarray([...Array(count).keys(), ...repeats], {
-          minLength: count + repeats.length,
-        }),
-      )
-      .map((order) => ({ count, order })),
-  );
-  const property = fc.property(arrivals, ({ count, order }) => {
-    const tokens = createTokenOrder(0);
-    const given = order.flatMap((index) => {
-      const result = tokens.offer(token(index));
-      return result.kind === "next" ? result.tokens : [];
+describe("token order", () => {
+  /**
+   * A planner's draft reads "move ten to ten Mtwara": a token came twice after
+   * a network fault, another came late. Whatever the order in which tokens
+   * come, and however often, they leave in order, each once.
+   */
+  it("tokens leave in order, each once", () => {
+    const seed = Number(process.env.SEED ?? 20_261);
+    console.log(`seed ${seed}`);
+    const arrivals = fc.integer({ min: 1, max: 40 }).chain((count) =>
+      fc
+        .array(fc.integer({ min: 0, max: count - 1 }), { maxLength: 40 })
+        .chain((repeats) =>
+          fc.shuffledSubarray([...Array(count).keys(), ...repeats], {
+            minLength: count + repeats.length,
+          }),
+        )
+        .map((order) => ({ count, order })),
+    );
+    const property = fc.property(arrivals, ({ count, order }) => {
+      const tokens = createTokenOrder(0);
+      const given = order.flatMap((index) => {
+        const result = tokens.offer(token(index));
+        return result.kind === "next" ? result.tokens : [];
+      });
+      expect(given.map(({ index }) => index)).toEqual([...Array(count).keys()]);
     });
-    expect(given.map(({ index }) => index)).toEqual([...Array(count).keys()]);
+    fc.assert(property, { seed });
   });
-  fc.assert(property, { seed });
-});
 
-/**
- * A token is lost and a fast engine goes on: the tokens that wait for it
- * must not fill the instance's memory.
- */
-test("a gap holds back a bounded number of tokens", () => {
-  const tokens = createTokenOrder(0);
-  const results = Array.from({ length: 100 }, (_, index) =>
-    tokens.offer(token(index + 1)),
-  );
-  expect(results.findIndex(({ kind }) => kind === "overflow")).toBe(64);
+  /**
+   * A token is lost and a fast engine goes on: the tokens that wait for it
+   * must not fill the instance's memory.
+   */
+  it("a gap holds back a bounded number of tokens", () => {
+    const tokens = createTokenOrder(0);
+    const results = Array.from({ length: 100 }, (_, index) =>
+      tokens.offer(token(index + 1)),
+    );
+    expect(results.findIndex(({ kind }) => kind === "overflow")).toBe(64);
+  });
 });
