--- a/packages/calls/src/answer.ts
+++ b/packages/calls/src/answer.ts
@@ -1,4 +1,4 @@
-/** Runs one answer over as many attempts as it needs. */
+/** Runs an answer, with as many attempts as it needs to complete. */
 import type { EngineClient, EngineFleet } from "@rosemarypin/backends";
 import type { NoteKeeper } from "@rosemarypin/release";
 import type { Grant, Router } from "@rosemarypin/routing";
@@ -8,7 +8,10 @@
 import type { AttemptEnd } from "./answer_attempt_state.ts";
 import { acquireEngines } from "./answer_engine_acquisition.ts";
 import type { AnswerEvent } from "./answer_event.ts";
-import { gaveUp, takenOver } from "./answer_failure.ts";
+import {
+  createGiveUpFailure,
+  createTakenOverFailure,
+} from "./answer_failure.ts";
 import { createLinkSpeeds, type LinkSpeeds } from "./answer_link_speeds.ts";
 import {
   createTokenPace,
@@ -18,24 +21,25 @@
 } from "./answer_liveness.ts";
 import {
   defaultMoveLimits,
-  giveBack,
-  type Move,
+  type Migration,
   type MoveLimits,
+  releaseMigration,
 } from "./answer_migration.ts";
 import {
-  emptyProgress,
+  createProgress,
   type Progress,
-  provenanceOf,
+  toProvenance,
 } from "./answer_progress.ts";
 import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 import { chooseVersion } from "./answer_version.ts";
 import type { CallFailure } from "./call_failure.ts";
 
-/** Attempts in a row without a new token before an answer is given up. */
-const FRUITLESS_AT_MOST = 8;
+/** Consecutive attempts without a new token after which an answer fails. */
+const MAX_ATTEMPTS_WITHOUT_TOKEN = 8;
 
 const log = createLogger("answer");
 
+/** What an instance needs to run answers. */
 export interface AnswerDependencies {
   readonly keeper: Pick<NoteKeeper, "current" | "fresh" | "onChange">;
   readonly router: Router;
@@ -44,29 +48,38 @@
   readonly recoveries: RecoveryLimiter;
   readonly metrics?: Metrics;
   readonly liveness?: LivenessLimits;
-  /** Shared by the answers of an instance; without it nothing is measured. */
+  /**
+   * Shared by all answers of an instance. Without it each answer starts with
+   * default speeds.
+   */
   readonly links?: LinkSpeeds;
   readonly moves?: MoveLimits;
 }
 
 interface RunOptions extends AnswerDependencies {
   readonly signal: AbortSignal;
-  /** What another instance reached, when the answer is taken over. */
+  /** State to continue from when the answer is resumed on this instance. */
   readonly progress?: Progress;
 }
 
-/** Runs an answer; the last event is `done` or `failed`. */
+/**
+ * Runs an answer and yields its events. The last one is `done` or `failed`,
+ * unless `signal` aborts the answer. An internal error also ends in `failed`.
+ */
 export async function* runAnswer(
   request: AnswerRequest,
   options: RunOptions,
 ): AsyncGenerator<AnswerEvent> {
-  const progress = options.progress ?? emptyProgress();
+  const progress = options.progress ?? createProgress();
   try {
     yield* runAttempts(request, { ...options, progress });
   } catch (error) {
     const reason = error instanceof Error ? error.message : String(error);
     log.warn("answer_broke", { request: request.requestId, reason });
-    yield { type: "failed", failure: gaveUp("internal_error", progress) };
+    yield {
+      type: "failed",
+      failure: createGiveUpFailure("internal_error", progress),
+    };
   }
 }
 
@@ -77,61 +90,70 @@
   const { progress } = options;
   const pace = createTokenPace(options.liveness ?? defaultLiveness);
   const links = options.links ?? createLinkSpeeds();
-  let move: Move | null = null;
+  let move: Migration | null = null;
   try {
     while (!options.signal.aborted) {
       const record = await options.keeper.fresh();
       const failure = chooseVersion(request, { ...options, record });
       if (failure) return yield { type: "failed", failure };
-      if (progress.fruitless >= FRUITLESS_AT_MOST) {
-        const final = gaveUp("attempts_used_up", progress);
-        return yield { type: "failed", failure: final };
+      if (progress.fruitless >= MAX_ATTEMPTS_WITHOUT_TOKEN) {
+        const exhausted = createGiveUpFailure("attempts_used_up", progress);
+        return yield { type: "failed", failure: exhausted };
       }
-      const turn: TurnOptions = { ...options, progress, pace, links, move };
+      const turn: NextAttemptOptions = {
+        ...options,
+        progress,
+        pace,
+        links,
+        move,
+      };
       move = null;
-      const end: TurnEnd = yield* runTurn(request, turn);
-      const last = lastEvent(end, progress);
-      if (last) return yield last;
+      const end: NextAttemptEnd = yield* runNextAttempt(request, turn);
+      const finalEvent = toFinalEvent(end, progress);
+      if (finalEvent) return yield finalEvent;
       if (end.kind === "moved") move = end.move;
       log.info("attempt_ended", {
         request: request.requestId,
         attempt: progress.attempt,
         delivered: progress.delivered.length,
-        reason: reasonOf(end),
+        reason: describeEnd(end),
       });
     }
   } finally {
-    if (move) giveBack(move);
+    if (move) releaseMigration(move);
   }
 }
 
-/** What the caller is told when no attempt follows. */
-function lastEvent(end: TurnEnd, progress: Progress): AnswerEvent | null {
+/** The caller's last event, or `null` when another attempt follows. */
+function toFinalEvent(
+  end: NextAttemptEnd,
+  progress: Progress,
+): AnswerEvent | null {
   switch (end.kind) {
     case "done": {
-      const provenance = provenanceOf(progress);
+      const provenance = toProvenance(progress);
       return { type: "done", reason: end.reason, provenance };
     }
     case "refused":
       return { type: "failed", failure: end.failure };
     case "taken_over":
-      return { type: "failed", failure: takenOver() };
+      return { type: "failed", failure: createTakenOverFailure() };
     default:
       return null;
   }
 }
 
-function reasonOf(end: TurnEnd): string {
+function describeEnd(end: NextAttemptEnd): string {
   if (end.kind === "moved") return `moved off ${end.move.from.join(",")}`;
   return end.kind === "retry" ? end.reason : end.kind;
 }
 
-interface TurnOptions extends RunOptions {
+interface NextAttemptOptions extends RunOptions {
   readonly progress: Progress;
   readonly pace: TokenPace;
   readonly links: LinkSpeeds;
-  /** Engines that are held already. */
-  readonly move: Move | null;
+  /** Engines acquired in advance for the next attempt. */
+  readonly move: Migration | null;
 }
 
 interface Refused {
@@ -139,24 +161,27 @@
   readonly failure: CallFailure;
 }
 
-type TurnEnd = AttemptEnd | Refused;
+type NextAttemptEnd = AttemptEnd | Refused;
 
-interface Turn {
+interface AcquiredEngines {
   readonly kind: "turn";
   readonly grant: Grant;
   readonly endTurn: (() => void) | null;
 }
 
-/** One attempt, in its turn when it is a recovery. */
-async function* runTurn(
+/**
+ * Runs one attempt. An attempt that recovers from a loss keeps a slot of the
+ * recovery limiter until its first token.
+ */
+async function* runNextAttempt(
   request: AnswerRequest,
-  options: TurnOptions,
-): AsyncGenerator<AnswerEvent, TurnEnd> {
+  options: NextAttemptOptions,
+): AsyncGenerator<AnswerEvent, NextAttemptEnd> {
   const { progress, signal, metrics, move } = options;
-  const isLoss = progress.started && !move;
-  const turn: Turn | Refused = move
+  const isLossRecovery = progress.started && !move;
+  const turn: AcquiredEngines | Refused = move
     ? { kind: "turn", ...move }
-    : await takeTurn(request, options);
+    : await acquireEnginesAndSlot(request, options);
   if (turn.kind === "refused") return turn;
   const { grant, endTurn } = turn;
   try {
@@ -165,7 +190,7 @@
     const moves = options.moves ?? defaultMoveLimits;
     const onProgress = () => {
       endTurn?.();
-      if (isLoss) metrics?.recoveries.inc({ model: request.model });
+      if (isLossRecovery) metrics?.recoveries.inc({ model: request.model });
     };
     const attempt = { ...options, grant, liveness, moves, onProgress };
     return yield* runAttempt(request, attempt);
@@ -175,17 +200,17 @@
   }
 }
 
-async function takeTurn(
+async function acquireEnginesAndSlot(
   request: AnswerRequest,
-  options: TurnOptions,
-): Promise<Turn | Refused> {
+  options: NextAttemptOptions,
+): Promise<AcquiredEngines | Refused> {
   const { progress, recoveries, signal } = options;
   const isRecovery = progress.started;
   const granted = await acquireEngines(request, progress, options);
   if (granted.kind === "refused") return granted;
   const { grant } = granted;
-  // The turn comes after the grant: an answer whose layers nobody holds must
-  // not take turns away from answers that could go on.
+  // The slot is acquired after the engines: an answer that waits for layers
+  // that no engine serves must not block answers that can continue.
   const endTurn = isRecovery
     ? await recoveries.takeTurn(request.priority, signal)
     : null;
--- a/packages/calls/src/answer_attempt.ts
+++ b/packages/calls/src/answer_attempt.ts
@@ -1,21 +1,24 @@
-/** Runs one attempt at an answer on one pipeline. */
+/** Runs one attempt of an answer on one pipeline. */
 import type { AttemptStart } from "@rosemarypin/backends";
 import { mayContinue } from "@rosemarypin/release";
 import type { AnswerRequest, LostCause } from "@rosemarypin/schemas";
-import { readAttempt, refresh } from "./answer_attempt_events.ts";
+import { refreshEngineState, streamAttempt } from "./answer_attempt_events.ts";
 import {
   type AttemptEnd,
   type AttemptOptions,
-  mayGoOn,
+  isVersionAllowed,
   type RunningAttempt,
 } from "./answer_attempt_state.ts";
-import { addImports } from "./answer_cache_import.ts";
+import { addCacheImports } from "./answer_cache_import.ts";
 import type { AnswerEvent } from "./answer_event.ts";
 import { readIncarnations } from "./answer_liveness.ts";
-import { createMover } from "./answer_migration.ts";
-import { describeAttempt, rememberCaches } from "./answer_progress.ts";
+import { createMigrator } from "./answer_migration.ts";
+import { buildAttemptRequest, updateCaches } from "./answer_progress.ts";
 
-/** Runs an attempt; stages that are lost on the way are noted. */
+/**
+ * Runs an attempt until it ends. Engines found lost are reported to the fleet
+ * and avoided by the next attempt.
+ */
 export async function* runAttempt(
   request: AnswerRequest,
   options: AttemptOptions,
@@ -25,58 +28,65 @@
   progress.attempt += 1;
   progress.fruitless += 1;
   const incarnations = readIncarnations(fleet);
-  const planned = describeAttempt(request, { progress, stages, incarnations });
-  const attempt = addImports(planned, options);
-  const before = progress.delivered.length;
-  const stop = new AbortController();
-  const signal = AbortSignal.any([options.signal, stop.signal]);
-  const stopFollowing = keeper.onChange((record) => {
-    if (!mayContinue(record, attempt)) stop.abort();
+  const withoutImports = buildAttemptRequest(request, {
+    progress,
+    stages,
+    incarnations,
+  });
+  const attempt = addCacheImports(withoutImports, options);
+  const deliveredBefore = progress.delivered.length;
+  const attemptAbort = new AbortController();
+  const signal = AbortSignal.any([options.signal, attemptAbort.signal]);
+  const unsubscribe = keeper.onChange((record) => {
+    if (!mayContinue(record, attempt)) attemptAbort.abort();
   });
   const lost = new Map<string, LostCause>();
-  const mover = createMover({ ...options, request, attempt });
+  const mover = createMigrator({ ...options, request, attempt });
   const startedAt = performance.now();
   const state = { attempt, incarnations, signal, lost, mover, startedAt };
   const running = { ...options, ...state };
   try {
-    if (!(await mayGoOn(attempt, keeper))) {
+    if (!(await isVersionAllowed(attempt, keeper))) {
       return { kind: "retry", reason: "withdrawn while it waited" };
     }
-    const start = await startInTime(running);
-    if (start.kind !== "started") return noteNoStart(start, running);
+    const start = await startWithTimeout(running);
+    if (start.kind !== "started") return handleFailedStart(start, running);
     progress.started = true;
-    return yield* readAttempt(start.events, running);
+    return yield* streamAttempt(start.events, running);
   } finally {
-    stopFollowing();
-    stop.abort();
+    unsubscribe();
+    attemptAbort.abort();
     mover.stop();
-    const gaveToken = progress.delivered.length > before;
-    rememberCaches(progress, { attempt, gaveToken, incarnations });
-    noteLost(running);
+    const gaveToken = progress.delivered.length > deliveredBefore;
+    updateCaches(progress, { attempt, gaveToken, incarnations });
+    reportLostStages(running);
   }
 }
 
 /**
- * A frozen engine takes the connection and says nothing: the call would wait
- * for ever. In time it is cut, and counts as started, since the engine may
- * find the request in its buffers when it goes on.
+ * Starts the attempt on the first engine, within `liveness.startMs`. A frozen
+ * process accepts the connection and never responds. After the timeout the
+ * attempt still counts as started, since the engine may read the request from
+ * its socket buffers once it resumes.
  */
-async function startInTime(running: RunningAttempt): Promise<AttemptStart> {
+async function startWithTimeout(
+  running: RunningAttempt,
+): Promise<AttemptStart> {
   const { engines, attempt, signal, liveness } = running;
   const [first] = attempt.stages;
   if (!first) throw new Error("a pipeline has at least one stage");
-  const late = new AbortController();
-  const timer = setTimeout(() => late.abort(), liveness.startMs);
+  const timeout = new AbortController();
+  const timer = setTimeout(() => timeout.abort(), liveness.startMs);
   try {
     return await engines.start(first.address, attempt, {
-      signal: AbortSignal.any([signal, late.signal]),
+      signal: AbortSignal.any([signal, timeout.signal]),
     });
   } finally {
     clearTimeout(timer);
   }
 }
 
-function noteNoStart(
+function handleFailedStart(
   start: Exclude<AttemptStart, { kind: "started" }>,
   running: RunningAttempt,
 ): AttemptEnd {
@@ -86,9 +96,9 @@
   if (start.kind === "refused") {
     if (start.takenOver) return { kind: "taken_over" };
     progress.avoid.add(engine);
-    // It knows what the fleet does not yet: until the fleet has read its state,
-    // each answer would spend one attempt after another on it.
-    if (first) void refresh(first, running);
+    // The engine may have changed state since the fleet last read it. Until the
+    // fleet has the new state, other answers would be sent there and refused.
+    if (first) void refreshEngineState(first, running);
     return { kind: "retry", reason: start.reason };
   }
   if (start.kind === "broken") progress.started = true;
@@ -96,7 +106,7 @@
   return { kind: "retry", reason: start.detail };
 }
 
-function noteLost({ lost, progress, fleet }: RunningAttempt): void {
+function reportLostStages({ lost, progress, fleet }: RunningAttempt): void {
   if (lost.size > 0) progress.lostAt ??= performance.now();
   for (const [engine, cause] of lost) {
     progress.kept.delete(engine);
--- a/packages/calls/src/answer_attempt_events.ts
+++ b/packages/calls/src/answer_attempt_events.ts
@@ -1,27 +1,27 @@
-/** Follows the events of one attempt and delivers its tokens. */
+/** Reads the engine events of one attempt and delivers its tokens. */
 import type { EngineEvent, Stage } from "@rosemarypin/schemas";
 import {
   type AttemptEnd,
-  mayGoOn,
+  isVersionAllowed,
   type RunningAttempt,
 } from "./answer_attempt_state.ts";
-import { noteImported, noteNoCache } from "./answer_cache_import.ts";
+import { recordImport, recordMissingCache } from "./answer_cache_import.ts";
 import type { AnswerEvent } from "./answer_event.ts";
 import { createEventReader } from "./answer_liveness.ts";
-import { lookIntoSilence } from "./answer_stall.ts";
+import { checkStall } from "./answer_stall.ts";
 import { createTokenOrder, type TokenEvent } from "./answer_token_order.ts";
 
 const CANCELLED: AttemptEnd = { kind: "retry", reason: "cancelled" };
 
-/** Reads an attempt's events until it ends. */
-export async function* readAttempt(
+/** Yields the tokens of an attempt in order, until the attempt ends. */
+export async function* streamAttempt(
   events: AsyncIterable<EngineEvent>,
   options: RunningAttempt,
 ): AsyncGenerator<AnswerEvent, AttemptEnd> {
   const { progress, attempt, pace, lost } = options;
   const reader = createEventReader(events);
   const order = createTokenOrder(progress.delivered.length);
-  const first = attempt.stages[0]?.engine ?? "";
+  const firstEngine = attempt.stages[0]?.engine ?? "";
   let silentMs = 0;
   let waitingSince = performance.now();
   while (true) {
@@ -29,16 +29,16 @@
     if (!(await mayDeliver(options))) return CANCELLED;
     if (next.kind === "silent") {
       silentMs = performance.now() - waitingSince;
-      const end = await lookIntoSilence(silentMs, { ...options, reader });
+      const end = await checkStall(silentMs, { ...options, reader });
       if (end) return end;
       continue;
     }
     if (next.kind === "ended") {
-      lost.set(first, "unreachable");
+      lost.set(firstEngine, "unreachable");
       return { kind: "retry", reason: "the stream broke" };
     }
     const { event } = next;
-    // Late events of an attempt that was given up are no part of the answer.
+    // Late events of an abandoned attempt are not part of the answer.
     if (event.attempt !== attempt.attempt) continue;
     switch (event.type) {
       case "started":
@@ -52,9 +52,9 @@
         for (const token of result.tokens) {
           if (!(await mayDeliver(options))) return CANCELLED;
           pace.observe(performance.now() - waitingSince);
-          take(token, options);
+          recordToken(token, options);
           const { index, text } = token;
-          yield { type: "token", index, text, engine: first };
+          yield { type: "token", index, text, engine: firstEngine };
           waitingSince = performance.now();
           if (token.ends) return { kind: "done", reason: token.ends };
         }
@@ -63,15 +63,15 @@
         break;
       }
       case "imported":
-        noteImported(event, options);
+        recordImport(event, options);
         break;
       case "stage_lost": {
         const stage = attempt.stages[event.stage];
         if (stage) lost.set(stage.engine, event.cause);
         if (stage && event.cause === "no_cache") {
           const elapsedMs = performance.now() - options.startedAt;
-          noteNoCache(stage, { ...options, elapsedMs });
-          await refresh(stage, options);
+          recordMissingCache(stage, { ...options, elapsedMs });
+          await refreshEngineState(stage, options);
         }
         return { kind: "retry", reason: event.reason };
       }
@@ -84,15 +84,16 @@
 }
 
 /**
- * Asked before each token: a slow caller takes one long after it was ready,
- * and a process can be frozen in between.
+ * Checks before each token that the answer's version is still allowed. It may
+ * have been withdrawn while a slow caller delayed the token or while this
+ * process was frozen.
  */
 async function mayDeliver(options: RunningAttempt): Promise<boolean> {
   const { attempt, keeper, signal } = options;
-  return !signal.aborted && (await mayGoOn(attempt, keeper));
+  return !signal.aborted && (await isVersionAllowed(attempt, keeper));
 }
 
-function take(token: TokenEvent, options: RunningAttempt): void {
+function recordToken(token: TokenEvent, options: RunningAttempt): void {
   const { progress, metrics, onProgress, attempt } = options;
   progress.delivered.push(token.text);
   progress.digest = token.digest;
@@ -106,8 +107,8 @@
   progress.lostAt = null;
 }
 
-/** Learns that an engine was restarted, or is leaving. */
-export async function refresh(
+/** Reads an engine's state into the fleet, such as a restart or a drain. */
+export async function refreshEngineState(
   { address }: Stage,
   options: Pick<RunningAttempt, "engines" | "fleet" | "liveness">,
 ): Promise<void> {
--- a/packages/calls/src/answer_attempt_state.ts
+++ b/packages/calls/src/answer_attempt_state.ts
@@ -1,4 +1,4 @@
-/** What the parts of one attempt at an answer share. */
+/** State shared by the modules that run one attempt of an answer. */
 import type { EngineClient, EngineFleet } from "@rosemarypin/backends";
 import { mayContinue, type NoteKeeper } from "@rosemarypin/release";
 import type { Grant, Router } from "@rosemarypin/routing";
@@ -6,7 +6,7 @@
 import type { Metrics } from "@rosemarypin/telemetry";
 import type { LinkSpeeds } from "./answer_link_speeds.ts";
 import type { LivenessLimits, TokenPace } from "./answer_liveness.ts";
-import type { Move, MoveLimits, Mover } from "./answer_migration.ts";
+import type { Migration, Migrator, MoveLimits } from "./answer_migration.ts";
 import type { Progress } from "./answer_progress.ts";
 import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 
@@ -14,11 +14,12 @@
 export type AttemptEnd =
   | { readonly kind: "done"; readonly reason: "stop" | "length" }
   | { readonly kind: "retry"; readonly reason: string }
-  /** Other engines are held, and go on with the answer. */
-  | { readonly kind: "moved"; readonly move: Move }
-  /** Another instance goes on with the answer. */
+  /** Other engines have been acquired; the next attempt runs on them. */
+  | { readonly kind: "moved"; readonly move: Migration }
+  /** Another connection, here or on another instance, runs the answer. */
   | { readonly kind: "taken_over" };
 
+/** Dependencies and state of an answer that its attempts use. */
 export interface AttemptOptions {
   readonly keeper: Pick<NoteKeeper, "current" | "fresh" | "onChange">;
   readonly fleet: EngineFleet;
@@ -33,26 +34,27 @@
   readonly progress: Progress;
   readonly grant: Grant;
   readonly signal: AbortSignal;
-  /** Called with the first new token. */
+  /** Called when the attempt delivers its first new token. */
   readonly onProgress: () => void;
 }
 
-/** An attempt that is about to start, or that runs. */
+/** An attempt that is starting or running. */
 export interface RunningAttempt extends AttemptOptions {
   readonly attempt: AttemptRequest;
-  /** Stages that are found lost, by engine. */
+  /** Cause of loss of each stage found lost, by engine. */
   readonly lost: Map<string, LostCause>;
   readonly incarnations: ReadonlyMap<string, number>;
-  readonly mover: Mover;
+  readonly mover: Migrator;
   readonly startedAt: number;
 }
 
 /**
- * A note may come while an answer waits for a pipeline, and a process that
- * was frozen finds tokens of a withdrawn version in its sockets before it
- * hears of the note: both are looked for at the point of use.
+ * Checks the attempt's version against the release note in force. Checked at
+ * the point of use, because a note may arrive while an answer waits for a
+ * pipeline, and a process that was frozen may read tokens of a withdrawn
+ * version from its sockets before it receives the note.
  */
-export async function mayGoOn(
+export async function isVersionAllowed(
   attempt: AttemptRequest,
   keeper: Pick<NoteKeeper, "fresh">,
 ): Promise<boolean> {
--- a/packages/calls/src/answer_cache_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -1,4 +1,4 @@
-/** What an answer's attempts import, and what that teaches of the links. */
+/** Plans KV cache imports of an attempt and records their transfer speeds. */
 import type { EngineFleet, KnownEngine } from "@rosemarypin/backends";
 import type { AttemptRequest, EngineEvent, Stage } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
@@ -19,8 +19,8 @@
   readonly links: LinkSpeeds;
 }
 
-/** Adds to an attempt where its stages import their KV cache from. */
-export function addImports(
+/** Returns the attempt with the KV cache source of each importing stage. */
+export function addCacheImports(
   attempt: AttemptRequest,
   { progress, fleet, links }: ImportContext,
 ): AttemptRequest {
@@ -30,14 +30,14 @@
       keptPositions === undefined ? [] : [engine],
     ),
   );
-  // The usual case costs no look at the fleet.
+  // Common case, without a read of the fleet: nothing to import.
   if (kept.size === stages.length || progress.kept.size === 0) return attempt;
-  const engines = byName(fleet);
+  const engines = enginesById(fleet);
   const holders = findHolders(progress, { stages, engines });
   if (holders.length === 0) return attempt;
   const positions = countPositions(attempt);
-  const all = { kept, holders, engines, positions, links };
-  const sources = chooseImports(stages, all);
+  const importOptions = { kept, holders, engines, positions, links };
+  const sources = chooseImports(stages, importOptions);
   if (sources.size === 0) return attempt;
   return {
     ...attempt,
@@ -49,7 +49,7 @@
   };
 }
 
-/** Engines that are no stage of the attempt and still have their cache. */
+/** Engines that hold KV cache of the answer but are no stage of the attempt. */
 function findHolders(
   progress: Progress,
   options: {
@@ -61,7 +61,7 @@
   return [...progress.kept].flatMap(([name, { layers, incarnation }]) => {
     const engine = options.engines.get(name);
     if (!engine || names.has(name)) return [];
-    // A restarted engine's memory is empty.
+    // A restart has emptied the engine's memory.
     if (engine.state?.incarnation !== incarnation) return [];
     return [{ engine, layers }];
   });
@@ -71,20 +71,20 @@
   return attempt.promptTokens.length + attempt.deliveredTokens.length - 1;
 }
 
-function byName(
+function enginesById(
   fleet: Pick<EngineFleet, "engines">,
 ): ReadonlyMap<string, KnownEngine> {
-  return new Map(fleet.engines().map((known) => [known.settings.id, known]));
+  return new Map(fleet.engines().map((engine) => [engine.settings.id, engine]));
 }
 
-interface RunningImports extends ImportContext {
+interface AttemptImportContext extends ImportContext {
   readonly attempt: AttemptRequest;
 }
 
-/** Takes the measure of a transfer. */
-export function noteImported(
+/** Logs a completed transfer and updates the speed of its link. */
+export function recordImport(
   event: Extract<EngineEvent, { type: "imported" }>,
-  options: RunningImports,
+  options: AttemptImportContext,
 ): void {
   const { attempt } = options;
   const { bytes, durationMs } = event;
@@ -103,14 +103,14 @@
 }
 
 /**
- * Notes that a stage found no cache after `elapsedMs`. The exporter is not
- * asked again, so that the next attempt recomputes. A transfer that ran into
- * its limit was slow: without that as a measure, each later answer would wait
- * for the same link in vain.
+ * Handles a stage that reports, `elapsedMs` after the start of the attempt,
+ * that it could not import its cache. The exporter is dropped as a source, so
+ * that the next attempt recomputes. A transfer that timed out is recorded as a
+ * speed of the link; otherwise later answers would time out on it as well.
  */
-export function noteNoCache(
+export function recordMissingCache(
   stage: Stage,
-  options: RunningImports & { readonly elapsedMs: number },
+  options: AttemptImportContext & { readonly elapsedMs: number },
 ): void {
   const { progress, attempt, elapsedMs } = options;
   const source = stage.importFrom;
@@ -123,7 +123,7 @@
     from: source.engine,
   });
   if (elapsedMs < source.withinMs) return;
-  const holder = byName(options.fleet).get(source.engine);
+  const holder = enginesById(options.fleet).get(source.engine);
   if (!holder) return;
   const positions = countPositions(attempt);
   const bytes = cacheBytesOf(stage, { positions, holder });
@@ -133,7 +133,7 @@
 }
 
 function linkOf(stage: Stage, { fleet }: ImportContext): Link | null {
-  const engines = byName(fleet);
+  const engines = enginesById(fleet);
   const from = engines.get(stage.importFrom?.engine ?? "");
   const to = engines.get(stage.engine);
   return from && to ? { from: linkEndOf(from), to: linkEndOf(to) } : null;
--- a/packages/calls/src/answer_cache_import_plan.ts
+++ b/packages/calls/src/answer_cache_import_plan.ts
@@ -1,66 +1,72 @@
-/** Chooses, for the stages without KV cache, between import and recompute. */
+/** Chooses between import and recomputation for stages without KV cache. */
 import type { KnownEngine } from "@rosemarypin/backends";
 import type { CacheSource, LayerRange, Stage } from "@rosemarypin/schemas";
 import type { LinkSpeeds } from "./answer_link_speeds.ts";
 
-/** Taken for engines that do not say, as large models have it. */
-const USUAL_CACHE_BYTES = 4_096;
-const USUAL_PROMPT_MICROS = 5;
-const SHORTEST_LIMIT_MS = 50;
-/** Shorter than the silence after which a message counts as lost. */
-const LONGEST_LIMIT_MS = 2_000;
-const MICROS = 1_000;
-const MILLIS = 1_000;
+/**
+ * Per position and layer, for engines that report no value; typical of large
+ * models.
+ */
+const DEFAULT_CACHE_BYTES = 4_096;
+const DEFAULT_PROMPT_MICROS = 5;
+const MIN_TRANSFER_TIMEOUT_MS = 50;
+/** Shorter than the silence after which a message is assumed lost (3 s). */
+const MAX_TRANSFER_TIMEOUT_MS = 2_000;
+const MICROS_PER_MS = 1_000;
+const MS_PER_SECOND = 1_000;
 
-/** An engine that is no stage any more and still has the KV cache. */
+/** An engine outside the pipeline that holds KV cache of the answer. */
 export interface CacheHolder {
   readonly engine: KnownEngine;
   readonly layers: LayerRange;
 }
 
 export interface ImportOptions {
-  /** Stages that have their KV cache, by engine. */
+  /** Engines of the stages that hold their KV cache already. */
   readonly kept: ReadonlySet<string>;
   readonly holders: readonly CacheHolder[];
   readonly engines: ReadonlyMap<string, KnownEngine>;
-  /** Positions that each stage must have. */
+  /** Number of positions that the KV cache of each stage must cover. */
   readonly positions: number;
   readonly links: LinkSpeeds;
 }
 
-interface Way {
+interface ImportPlan {
   readonly costMs: number;
   readonly sources: ReadonlyMap<string, CacheSource>;
 }
 
 /**
- * Says which stages are to import, and from where. A stage that recomputes
- * makes all stages before it run again too, since it needs their outputs; so
- * the ways differ in the last stage that recomputes, and each later one that
- * lacks its cache imports. The cheapest way by measured speeds is taken.
+ * Returns the cache source of each stage that should import, by engine. A stage
+ * that recomputes needs the outputs of all stages before it, so these run
+ * again too. Each plan therefore has a last recomputed stage, after which every
+ * stage without cache imports. The plan with the lowest estimated cost wins.
  */
 export function chooseImports(
   stages: readonly Stage[],
   options: ImportOptions,
 ): ReadonlyMap<string, CacheSource> {
-  const ways = stages
+  const plans = stages
     .flatMap(({ engine }, index) => (options.kept.has(engine) ? [] : [index]))
-    .map((last) => describeWay(stages, { ...options, last }));
-  const all = [describeWay(stages, { ...options, last: -1 }), ...ways];
-  const [best] = all
-    .filter((way) => way !== null)
+    .map((last) => createPlan(stages, { ...options, last }));
+  const all = [createPlan(stages, { ...options, last: -1 }), ...plans];
+  const [cheapest] = all
+    .filter((plan) => plan !== null)
     .sort((a, b) => a.costMs - b.costMs);
-  return best?.sources ?? new Map();
+  return cheapest?.sources ?? new Map();
 }
 
-/** Stages up to `last` run again; `null` when a later one has no source. */
-function describeWay(
+/**
+ * Plan that recomputes the stages up to index `last` and imports for the later
+ * ones; `null` when one of these has no source.
+ */
+function createPlan(
   stages: readonly Stage[],
   options: ImportOptions & { readonly last: number },
-): Way | null {
+): ImportPlan | null {
   const { kept, positions, last } = options;
-  const again = stages.slice(0, last + 1);
-  let costMs = recomputeMs(again, options);
+  const recomputed = stages.slice(0, last + 1);
+  let costMs = recomputeMs(recomputed, options);
   const sources = new Map<string, CacheSource>();
   if (positions <= 0) return last < 0 ? { costMs, sources } : null;
   for (const [index, stage] of stages.entries()) {
@@ -68,22 +74,22 @@
     const holder = findHolder(stage, options);
     if (!holder) return null;
     costMs += importMs(stage, { ...options, holder });
-    // Given up after the time in which the stages up to it recompute, so a
-    // link that is slower than it was costs twice the other way at most.
-    const limitMs = recomputeMs(stages.slice(0, index + 1), options);
-    sources.set(stage.engine, describeSource(holder, limitMs));
+    // The timeout is the time to recompute the stages up to this one. A link
+    // that has become slow thus costs about twice a recomputation at most.
+    const timeoutMs = recomputeMs(stages.slice(0, index + 1), options);
+    sources.set(stage.engine, createCacheSource(holder, timeoutMs));
   }
   return { costMs, sources };
 }
 
-function describeSource(holder: CacheHolder, limitMs: number): CacheSource {
+function createCacheSource(holder: CacheHolder, limitMs: number): CacheSource {
   const { settings, state } = holder.engine;
-  const bounded = Math.min(LONGEST_LIMIT_MS, limitMs);
+  const boundedMs = Math.min(MAX_TRANSFER_TIMEOUT_MS, limitMs);
   return {
     engine: settings.id,
     address: settings.address,
     incarnation: state?.incarnation,
-    withinMs: Math.ceil(Math.max(SHORTEST_LIMIT_MS, bounded)),
+    withinMs: Math.ceil(Math.max(MIN_TRANSFER_TIMEOUT_MS, boundedMs)),
   };
 }
 
@@ -103,8 +109,10 @@
 ): number {
   return stages.reduce((sum, { engine, layers }) => {
     const state = engines.get(engine)?.state;
-    const micros = state?.promptMicros ?? USUAL_PROMPT_MICROS;
-    return sum + (positions * (layers.to - layers.from) * micros) / MICROS;
+    const micros = state?.promptMicros ?? DEFAULT_PROMPT_MICROS;
+    return (
+      sum + (positions * (layers.to - layers.from) * micros) / MICROS_PER_MS
+    );
   }, 0);
 }
 
@@ -119,20 +127,20 @@
     from: linkEndOf(holder.engine),
     to: to ? linkEndOf(to) : { engine: stage.engine, failureDomain: "" },
   };
-  return (bytes / links.bytesPerSecond(link)) * MILLIS;
+  return (bytes / links.bytesPerSecond(link)) * MS_PER_SECOND;
 }
 
-/** Bytes of a stage's KV cache, as the engine that holds it counts them. */
+/** Size of a stage's KV cache, by the bytes that `holder` reports. */
 export function cacheBytesOf(
   { layers }: Pick<Stage, "layers">,
   options: { readonly positions: number; readonly holder: KnownEngine },
 ): number {
   const { positions, holder } = options;
-  const bytes = holder.state?.cacheBytes ?? USUAL_CACHE_BYTES;
+  const bytes = holder.state?.cacheBytes ?? DEFAULT_CACHE_BYTES;
   return positions * (layers.to - layers.from) * bytes;
 }
 
-/** The end of a link at an engine. */
+/** Returns an engine as the end of a link. */
 export function linkEndOf({ settings }: KnownEngine) {
   return { engine: settings.id, failureDomain: settings.failureDomain };
 }
--- a/packages/calls/src/answer_cache_import_plan_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -42,7 +42,10 @@
   };
 }
 
-/** Stages `new-0` to `new-2`; those in `missing` lack their cache. */
+/**
+ * Plans imports for the stages `new-0` to `new-2`, of which those in `missing`
+ * have no cache.
+ */
 function choose(options: {
   readonly missing: readonly number[];
   readonly bytesPerSecond: number;
@@ -77,29 +80,44 @@
 
 describe("cache import plan", () => {
   /**
-   * Recompute of the last stage costs 200 x 24 x 10 us = 48 ms, since all stages
-   * before it must run again; its cache has 1 MB. The first stage alone costs 20
-   * ms, and has 2 MB.
+   * Recomputing the last stage costs 200 x 24 x 10 us = 48 ms, since all stages
+   * before it run again; its cache has 1 MB. Recomputing the first stage alone
+   * costs 20 ms; its cache has 2 MB.
    */
   it.each([
-    ["last stage, fast link", [2], 1e8, ["new-2 from old-2 in 50"]],
-    ["last stage, 20 ms on the link", [2], 5e7, ["new-2 from old-2 in 50"]],
-    ["last stage, 50 ms on the link", [2], 2e7, []],
-    ["first stage, fast link", [0], 2e8, ["new-0 from old-0 in 50"]],
-    ["first stage, 40 ms on the link", [0], 5e7, []],
     [
-      "first and last, the first recomputes",
+      "for the last stage over a fast link",
+      [2],
+      1e8,
+      ["new-2 from old-2 in 50"],
+    ],
+    [
+      "for the last stage over a link that takes 20 ms",
+      [2],
+      5e7,
+      ["new-2 from old-2 in 50"],
+    ],
+    ["for no last stage over a link that takes 50 ms", [2], 2e7, []],
+    [
+      "for the first stage over a fast link",
+      [0],
+      2e8,
+      ["new-0 from old-0 in 50"],
+    ],
+    ["for no first stage over a link that takes 40 ms", [0], 5e7, []],
+    [
+      "for the last stage when the first one recomputes",
       [0, 2],
       5e7,
       ["new-2 from old-2 in 50"],
     ],
-    ["no stage is missing", [], 1e9, []],
-  ])("%s", (_name, missing, bytesPerSecond, expected) => {
+    ["for no stage when none lacks its cache", [], 1e9, []],
+  ])("imports %s", (_name, missing, bytesPerSecond, expected) => {
     expect(choose({ missing, bytesPerSecond })).toEqual(expected);
   });
 
-  /** Layers that nobody holds are recomputed, with all before them. */
-  it("a stage before one that must recompute imports nothing", () => {
+  /** Layers without a cache holder are recomputed, as are all layers before. */
+  it("imports nothing before a stage that recomputes", () => {
     const [first = { from: 0, to: 1 }] = RANGES;
     const link = { bytesPerSecond: 1e9, holders: [first] };
     expect(choose({ missing: [0, 2], ...link })).toEqual([]);
--- a/packages/calls/src/answer_engine_acquisition.ts
+++ b/packages/calls/src/answer_engine_acquisition.ts
@@ -1,25 +1,25 @@
-/** Gets engines for one attempt of an answer. */
-
+/** Acquires the engines for one attempt of an answer. */
 import type { Grant, Router } from "@rosemarypin/routing";
 import type { AnswerRequest } from "@rosemarypin/schemas";
 import { pause } from "@rosemarypin/timing";
 import type { Progress } from "./answer_progress.ts";
 import { type CallFailure, failedRun, notRun } from "./call_failure.ts";
 
-/** How long an answer that began waits for engines to come back. */
-const ENGINES_BACK_MS = 8_000;
-const ENGINES_BACK_CHECK_MS = 100;
-/** How long a recovery looks only at engines that did not fail it. */
-const AVOID_MS = 300;
+/** How long an answer that has started waits for available engines. */
+const ENGINE_WAIT_TIMEOUT_MS = 8_000;
+const ENGINE_RETRY_INTERVAL_MS = 100;
+/** Interval after which a recovery may use engines that failed it before. */
+const AVOID_RESET_INTERVAL_MS = 300;
 
-/** The engines of an attempt, or the answer's final failure. */
-export type GrantEnd =
+/** The engines for an attempt, or the final failure of the answer. */
+export type EngineAcquisition =
   | { readonly kind: "granted"; readonly grant: Grant }
   | { readonly kind: "refused"; readonly failure: CallFailure };
 
 /**
- * An answer that began waits for engines to come back; one of which nothing
- * ran is refused by the router's own rules.
+ * Acquires a pipeline for the next attempt. An answer that has already started
+ * retries until engines become available, for at most 8 s and not past its
+ * deadline. One that has not started is refused as soon as the router refuses.
  */
 export async function acquireEngines(
   request: AnswerRequest,
@@ -28,40 +28,46 @@
     readonly router: Pick<Router, "acquire">;
     readonly signal: AbortSignal;
   },
-): Promise<GrantEnd> {
+): Promise<EngineAcquisition> {
   const { router, signal } = options;
   const { version, avoid, started: isRecovery } = progress;
   if (!version) throw new Error("a version is chosen before a pipeline");
   const prefer = new Set(progress.kept.keys());
-  const need = { request, version, avoid, prefer, isRecovery, signal };
+  const requirements = { request, version, avoid, prefer, isRecovery, signal };
   if (!isRecovery) {
-    const result = await router.acquire(need);
+    const result = await router.acquire(requirements);
     if (result.kind === "granted") return result;
     const { code, retryAfterSeconds } = result;
     const message = "no engines are free for this request; ask again later";
     const failure = notRun(code, { message, retryAfterSeconds });
     return { kind: "refused", failure };
   }
-  const latest = Math.min(Date.now() + ENGINES_BACK_MS, request.deadlineAt);
-  const recovery = { ...need, request: { ...request, deadlineAt: latest } };
-  // An engine that failed this answer may have been restarted since, and be
-  // the only one with its layers; the router looks at the set each time.
-  const timer = setInterval(() => avoid.clear(), AVOID_MS);
+  const waitDeadlineAt = Math.min(
+    Date.now() + ENGINE_WAIT_TIMEOUT_MS,
+    request.deadlineAt,
+  );
+  const recoveryRequirements = {
+    ...requirements,
+    request: { ...request, deadlineAt: waitDeadlineAt },
+  };
+  // An engine that failed this answer may have restarted since and be the only
+  // one with its layers. The router reads the set on each selection.
+  const timer = setInterval(() => avoid.clear(), AVOID_RESET_INTERVAL_MS);
   try {
     while (true) {
-      const result = await router.acquire(recovery);
+      const result = await router.acquire(recoveryRequirements);
       if (result.kind === "granted") return result;
-      if (signal.aborted || Date.now() >= latest) {
-        return { kind: "refused", failure: noEngines(result) };
+      if (signal.aborted || Date.now() >= waitDeadlineAt) {
+        return { kind: "refused", failure: createNoEnginesFailure(result) };
       }
-      await pause(ENGINES_BACK_CHECK_MS);
+      await pause(ENGINE_RETRY_INTERVAL_MS);
     }
   } finally {
     clearInterval(timer);
   }
 }
 
-function noEngines(refusal: {
+function createNoEnginesFailure(refusal: {
   readonly code: string;
   readonly retryAfterSeconds: number;
 }): CallFailure {
--- a/packages/calls/src/answer_event.ts
+++ b/packages/calls/src/answer_event.ts
@@ -1,14 +1,14 @@
-/** What a caller of an answer sees, in order. */
+/** Events that an answer delivers to its caller. */
 import type { AnswerProvenance } from "@rosemarypin/schemas";
 import type { CallFailure } from "./call_failure.ts";
 
-/** One event of an answer; the last is `done` or `failed`. */
+/** An event of an answer; the last one is `done` or `failed`. */
 export type AnswerEvent =
   | {
       readonly type: "token";
       readonly index: number;
       readonly text: string;
-      /** Engine of the first stage, from which the answer can be resumed. */
+      /** Engine of the first stage, which stores the answer for a resume. */
       readonly engine: string;
     }
   | {
--- a/packages/calls/src/answer_link_speeds.ts
+++ b/packages/calls/src/answer_link_speeds.ts
@@ -1,22 +1,21 @@
-/** How fast KV cache went from one engine to another, as measured here. */
+/** Measures the speed of KV cache transfers between engines. */
 
 /**
- * Speed of a link of which nothing was measured: 10 Gbit/s. It is a hopeful
- * guess, since one that keeps imports from being tried would never be put
- * right, and the limit of a transfer bounds what a wrong one costs.
+ * Assumed speed of a link without measurements: 10 Gbit/s. It is optimistic:
+ * too low a value would prevent imports and so never be corrected, while the
+ * cost of too high a value is bounded by the transfer timeout.
  */
-const UNMEASURED_BYTES_PER_SECOND = 1_250_000_000;
-/** What an older transfer counts beside the one after it. */
+const DEFAULT_BYTES_PER_SECOND = 1_250_000_000;
+/** Factor by which each new transfer reduces the weight of older ones. */
 const DECAY = 0.7;
-const ENGINE_PAIRS_AT_MOST = 512;
-const DOMAIN_PAIRS_AT_MOST = 128;
+const MAX_ENGINE_PAIRS = 512;
+const MAX_DOMAIN_PAIRS = 128;
 /**
- * After this long without a transfer a measure counts no more. A link that
- * was slow once is chosen for no import, so nothing else would ever show that
- * it has become fast again.
+ * Age at which a measurement expires. A link measured as slow gets no further
+ * imports, so its recovery would never be detected otherwise.
  */
-const FORGET_MS = 30_000;
-const MILLIS = 1_000;
+const MEASUREMENT_EXPIRY_MS = 30_000;
+const MS_PER_SECOND = 1_000;
 
 /** One end of a link. */
 export interface LinkEnd {
@@ -24,6 +23,7 @@
   readonly failureDomain: string;
 }
 
+/** Direction of a transfer between two engines. */
 export interface Link {
   readonly from: LinkEnd;
   readonly to: LinkEnd;
@@ -34,28 +34,35 @@
   readonly durationMs: number;
 }
 
-/** Weighted means over the latest transfers of each link. */
+/** Weighted average speed of each link, over its latest transfers. */
 export interface LinkSpeeds {
   observe(link: Link, transfer: Transfer): void;
   /**
-   * Takes a transfer that was given up: at best it was as fast as this. It
-   * speaks of the two engines only, since one of them may be frozen.
+   * Records a transfer that timed out; its speed is an upper bound. It counts
+   * for the two engines only and not for their failure domains, since one of
+   * the engines may be frozen.
    */
   observeGivenUp(link: Link, transfer: Transfer): void;
   /**
-   * Of the two engines; else of their failure domains; else a usual one, so
-   * that the first transfer is tried and measured.
+   * Average of the two engines, else of their failure domains, else a default
+   * that is fast enough for a first transfer to be tried.
    */
   bytesPerSecond(link: Link): number;
 }
 
-/** Creates speeds of which none is measured. */
+/** Creates link speeds without measurements. */
 export function createLinkSpeeds(
   options: { readonly forgetMs?: number } = {},
 ): LinkSpeeds {
-  const { forgetMs = FORGET_MS } = options;
-  const engines = createMeans({ atMost: ENGINE_PAIRS_AT_MOST, forgetMs });
-  const domains = createMeans({ atMost: DOMAIN_PAIRS_AT_MOST, forgetMs });
+  const { forgetMs = MEASUREMENT_EXPIRY_MS } = options;
+  const engines = createTransferAverages({
+    atMost: MAX_ENGINE_PAIRS,
+    forgetMs,
+  });
+  const domains = createTransferAverages({
+    atMost: MAX_DOMAIN_PAIRS,
+    forgetMs,
+  });
   return {
     observeGivenUp(link, transfer) {
       engines.observe(engineKey(link), transfer);
@@ -67,7 +74,7 @@
     bytesPerSecond: (link) =>
       engines.read(engineKey(link)) ??
       domains.read(domainKey(link)) ??
-      UNMEASURED_BYTES_PER_SECOND,
+      DEFAULT_BYTES_PER_SECOND,
   };
 }
 
@@ -79,35 +86,35 @@
   return `${from.failureDomain}>${to.failureDomain}`;
 }
 
-/** Keeps the pairs that were observed last. */
-function createMeans(options: {
+/** Averages transfers by key and evicts the least recently observed key. */
+function createTransferAverages(options: {
   readonly atMost: number;
   readonly forgetMs: number;
 }) {
   const { atMost, forgetMs } = options;
   const sums = new Map<string, Transfer & { readonly at: number }>();
 
-  function fresh(key: string): Transfer | undefined {
+  function readUnexpired(key: string): Transfer | undefined {
     const sum = sums.get(key);
     return sum && performance.now() - sum.at < forgetMs ? sum : undefined;
   }
 
   return {
     observe(key: string, next: Transfer): void {
-      const before = fresh(key) ?? { bytes: 0, durationMs: 0 };
+      const previous = readUnexpired(key) ?? { bytes: 0, durationMs: 0 };
       sums.delete(key);
       sums.set(key, {
-        bytes: before.bytes * DECAY + next.bytes,
-        durationMs: before.durationMs * DECAY + next.durationMs,
+        bytes: previous.bytes * DECAY + next.bytes,
+        durationMs: previous.durationMs * DECAY + next.durationMs,
         at: performance.now(),
       });
       const [oldest] = sums.keys();
       if (sums.size > atMost && oldest !== undefined) sums.delete(oldest);
     },
     read(key: string): number | undefined {
-      const sum = fresh(key);
+      const sum = readUnexpired(key);
       if (!sum || sum.durationMs <= 0) return undefined;
-      return (sum.bytes / sum.durationMs) * MILLIS;
+      return (sum.bytes / sum.durationMs) * MS_PER_SECOND;
     },
   };
 }
--- a/packages/calls/src/answer_link_speeds_test.ts
+++ b/packages/calls/src/answer_link_speeds_test.ts
@@ -15,49 +15,48 @@
   };
 }
 
-const SLOW = { bytes: 1_000, durationMs: 1_000 };
-const UNMEASURED = createLinkSpeeds().bytesPerSecond(link("a", "b"));
+const SLOW_TRANSFER = { bytes: 1_000, durationMs: 1_000 };
+const DEFAULT_SPEED = createLinkSpeeds().bytesPerSecond(link("a", "b"));
 
 describe("link speeds", () => {
-  it("an unmeasured pair has its domains' speed, or a usual one", () => {
+  it("fall back to the failure domains, then to a default", () => {
     const speeds = createLinkSpeeds();
-    expect(speeds.bytesPerSecond(link("a", "b"))).toBe(UNMEASURED);
-    speeds.observe(link("a", "b"), SLOW);
+    expect(speeds.bytesPerSecond(link("a", "b"))).toBe(DEFAULT_SPEED);
+    speeds.observe(link("a", "b"), SLOW_TRANSFER);
     expect(speeds.bytesPerSecond(link("a", "b"))).toBe(1_000);
     expect(speeds.bytesPerSecond(link("c", "d"))).toBe(1_000);
   });
 
   /**
-   * One engine freezes in the middle of a transfer. Taken as the speed of its
-   * whole failure domain, that would stop all imports out of the domain.
+   * One engine freezes during a transfer. If that counted for its failure
+   * domain, no engine of the domain would be used as an import source any more.
    */
-  it("a transfer that was given up speaks of the two engines only", () => {
+  it("count a timed-out transfer for its two engines only", () => {
     const speeds = createLinkSpeeds();
-    speeds.observeGivenUp(link("a", "b"), SLOW);
+    speeds.observeGivenUp(link("a", "b"), SLOW_TRANSFER);
     expect(speeds.bytesPerSecond(link("a", "b"))).toBe(1_000);
-    expect(speeds.bytesPerSecond(link("c", "d"))).toBe(UNMEASURED);
+    expect(speeds.bytesPerSecond(link("c", "d"))).toBe(DEFAULT_SPEED);
   });
 
   /**
-   * A link is slow for a minute. Nothing is imported over it any more, so
-   * nothing measures it again: kept for good, the old measure would make every
-   * later answer recompute.
+   * A link is slow for a minute. It gets no more imports and hence no new
+   * measurement: without expiry, all later answers would recompute.
    */
-  it("a measure is forgotten after a while", () => {
+  it("expire without new transfers", () => {
     const speeds = createLinkSpeeds({ forgetMs: 30_000 });
-    speeds.observe(link("a", "b"), SLOW);
+    speeds.observe(link("a", "b"), SLOW_TRANSFER);
     vi.advanceTimersByTime(29_000);
     expect(speeds.bytesPerSecond(link("a", "b"))).toBe(1_000);
     vi.advanceTimersByTime(1_000);
-    expect(speeds.bytesPerSecond(link("a", "b"))).toBe(UNMEASURED);
+    expect(speeds.bytesPerSecond(link("a", "b"))).toBe(DEFAULT_SPEED);
   });
 
-  it("only the pairs that were measured last are kept", () => {
+  it("evict the least recently measured pairs", () => {
     const speeds = createLinkSpeeds();
     for (let number = 0; number < 600; number++) {
-      speeds.observeGivenUp(link(`engine-${number}`, "b"), SLOW);
+      speeds.observeGivenUp(link(`engine-${number}`, "b"), SLOW_TRANSFER);
     }
     expect(speeds.bytesPerSecond(link("engine-599", "b"))).toBe(1_000);
-    expect(speeds.bytesPerSecond(link("engine-0", "b"))).toBe(UNMEASURED);
+    expect(speeds.bytesPerSecond(link("engine-0", "b"))).toBe(DEFAULT_SPEED);
   });
 });
--- a/packages/calls/src/answer_liveness.ts
+++ b/packages/calls/src/answer_liveness.ts
@@ -1,19 +1,19 @@
-/** Tells a stage that died, froze or forgot from one that is only busy. */
+/** Distinguishes dead, frozen and restarted stages from busy ones. */
 import type { EngineClient, EngineFleet } from "@rosemarypin/backends";
 import type { EngineEvent, EngineState, Stage } from "@rosemarypin/schemas";
 
-/** When silence on a stream is looked into. */
+/** Timeouts by which a silent stream is checked for lost stages. */
 export interface LivenessLimits {
-  /** An engine that does not begin to answer in this time is frozen. */
+  /** Time in which an engine must accept an attempt. */
   readonly startMs: number;
   /** Silence before the first token after which stages are probed. */
   readonly firstTokenMs: number;
   /** Bounds of the silence between tokens after which stages are probed. */
   readonly shortestSilenceMs: number;
   readonly longestSilenceMs: number;
-  /** How long a stage may take to answer a probe. */
+  /** Timeout of a probe. */
   readonly probeMs: number;
-  /** Silence after which a message counts as lost though all stages live. */
+  /** Silence after which a message is assumed lost if all stages respond. */
   readonly lostMessageMs: number;
 }
 
@@ -26,34 +26,36 @@
   lostMessageMs: 3_000,
 };
 
-/** Times the usual gap between tokens, one gap is suspicious. */
-const SUSPICIOUS_GAPS = 5;
-const PACE_WEIGHT = 0.2;
-/** What a busy engine may need longer than another to answer a probe. */
-const SHORTEST_GRACE_MS = 80;
-const GRACE_FACTOR = 10;
+/** Multiple of the average gap between tokens that counts as silence. */
+const SILENCE_GAP_FACTOR = 5;
+const GAP_SMOOTHING_FACTOR = 0.2;
+/** Minimum time that other engines get after the first probe response. */
+const MIN_PROBE_GRACE_MS = 80;
+const PROBE_GRACE_FACTOR = 10;
 
-/** The pace of one answer's tokens, over all its attempts. */
+/** Moving average of the gaps between an answer's tokens, over all attempts. */
 export interface TokenPace {
   observe(gapMs: number): void;
-  /** The usual gap between tokens; `null` before the first token. */
+  /** The average gap; `null` before the first token. */
   gapMs(): number | null;
   /** Silence after which the stages are probed. */
   silenceMs(): number;
 }
 
-/** Creates a pace that knows nothing yet. */
+/** Creates the pace of an answer without tokens. */
 export function createTokenPace(limits: LivenessLimits): TokenPace {
-  let usualMs: number | null = null;
+  let averageMs: number | null = null;
   return {
     observe(gapMs) {
-      usualMs =
-        usualMs === null ? gapMs : usualMs + PACE_WEIGHT * (gapMs - usualMs);
+      averageMs =
+        averageMs === null
+          ? gapMs
+          : averageMs + GAP_SMOOTHING_FACTOR * (gapMs - averageMs);
     },
-    gapMs: () => usualMs,
+    gapMs: () => averageMs,
     silenceMs() {
-      if (usualMs === null) return limits.firstTokenMs;
-      const silence = usualMs * SUSPICIOUS_GAPS;
+      if (averageMs === null) return limits.firstTokenMs;
+      const silence = averageMs * SILENCE_GAP_FACTOR;
       return Math.min(
         limits.longestSilenceMs,
         Math.max(limits.shortestSilenceMs, silence),
@@ -62,16 +64,16 @@
   };
 }
 
-/** What came next on a stream. */
+/** Result of a read from a stream. */
 export type NextEvent =
   | { readonly kind: "event"; readonly event: EngineEvent }
   | { readonly kind: "ended" }
   | { readonly kind: "silent" };
 
-/** Reads a stream with a limit on silence; no event is lost by it. */
+/** Reads a stream with a timeout. No event is lost by a timeout. */
 export interface EventReader {
   next(silenceMs: number): Promise<NextEvent>;
-  /** Whether an event came that was not taken yet. */
+  /** Whether an event, or the end, has arrived and not been read yet. */
   hasEvent(): boolean;
 }
 
@@ -81,38 +83,38 @@
 ): EventReader {
   const iterator = events[Symbol.asyncIterator]();
   let pending: Promise<NextEvent> | null = null;
-  let arrived = false;
+  let hasArrived = false;
 
   function read(): Promise<NextEvent> {
-    arrived = false;
+    hasArrived = false;
     return iterator.next().then(
       (result): NextEvent => {
-        arrived = true;
+        hasArrived = true;
         return result.done
           ? { kind: "ended" }
           : { kind: "event", event: result.value };
       },
       (): NextEvent => {
-        arrived = true;
+        hasArrived = true;
         return { kind: "ended" };
       },
     );
   }
 
   return {
-    hasEvent: () => arrived && pending !== null,
+    hasEvent: () => hasArrived && pending !== null,
     next(silenceMs) {
       pending ??= read();
-      const reading = pending;
+      const pendingRead = pending;
       return new Promise((resolve) => {
         let isWaiting = true;
         const timer = setTimeout(() => {
           isWaiting = false;
           resolve({ kind: "silent" });
         }, silenceMs);
-        void reading.then((next) => {
-          // After a silence the event stays for the next call: taken here,
-          // a token that came while stages were probed would be lost.
+        void pendingRead.then((next) => {
+          // After a timeout the event is kept for the next call. Otherwise a
+          // token that arrives while stages are probed would be lost.
           if (!isWaiting) return;
           clearTimeout(timer);
           pending = null;
@@ -124,9 +126,9 @@
 }
 
 /**
- * Stages that do not answer, or that were restarted since the attempt began:
- * a restarted engine answers at the same address, but its memory is empty,
- * so the answer would wait for it in vain.
+ * Probes the stages and returns those that do not respond or that restarted
+ * since the attempt began. A restarted engine responds at the same address but
+ * has lost the attempt, so that its next token would never arrive.
  */
 export async function findLostStages(
   stages: readonly Stage[],
@@ -143,17 +145,19 @@
     const state = states[index];
     if (!state) return true;
     fleet.observe(state);
-    const before = incarnations.get(engine);
-    return before !== undefined && state.incarnation !== before;
+    const incarnationAtStart = incarnations.get(engine);
+    return (
+      incarnationAtStart !== undefined &&
+      state.incarnation !== incarnationAtStart
+    );
   });
 }
 
 /**
- * Asks all stages for their state. Once one has answered, the others get as
- * long as its answer shows that a busy engine may need: waiting out the whole
- * limit for one that is frozen would hold the answer up for nothing. When
- * none answers, our own process or network may be slow, and the whole limit
- * is waited for.
+ * Reads the state of all stages. After each response the others get a grace
+ * period in proportion to its duration, so that a frozen engine doesn't delay
+ * the answer by the full probe timeout. Without any response, the delay may be
+ * in this process or its network, and the full timeout applies.
  */
 async function probeStages(
   stages: readonly Stage[],
@@ -161,32 +165,35 @@
 ): Promise<readonly (EngineState | null)[]> {
   const { engines, probeMs: timeoutMs } = options;
   const states: (EngineState | null)[] = stages.map(() => null);
-  const began = performance.now();
-  const waits = new AbortController();
+  const startedAt = performance.now();
+  const grace = new AbortController();
   const probes = stages.map(async ({ address }, index) => {
     const state = await engines.readState(address, { timeoutMs });
     states[index] = state;
     if (state === null) return;
-    const answeredMs = performance.now() - began;
-    const graceMs = Math.max(SHORTEST_GRACE_MS, answeredMs * GRACE_FACTOR);
-    setTimeout(() => waits.abort(), Math.min(graceMs, timeoutMs));
+    const responseMs = performance.now() - startedAt;
+    const graceMs = Math.max(
+      MIN_PROBE_GRACE_MS,
+      responseMs * PROBE_GRACE_FACTOR,
+    );
+    setTimeout(() => grace.abort(), Math.min(graceMs, timeoutMs));
   });
   const graceEnded = new Promise<void>((resolve) => {
-    waits.signal.addEventListener("abort", () => resolve(), { once: true });
+    grace.signal.addEventListener("abort", () => resolve(), { once: true });
   });
   await Promise.race([Promise.all(probes), graceEnded]);
   return [...states];
 }
 
-/** Incarnations of engines as the fleet last heard them. */
+/** Incarnation of each engine in the fleet's last known state. */
 export function readIncarnations(
   fleet: EngineFleet,
 ): ReadonlyMap<string, number> {
-  const known = fleet.engines().flatMap(({ settings, state }) => {
+  const incarnations = fleet.engines().flatMap(({ settings, state }) => {
     const incarnation = state?.incarnation;
     return incarnation === undefined
       ? []
       : [[settings.id, incarnation] as const];
   });
-  return new Map(known);
+  return new Map(incarnations);
 }
--- a/packages/calls/src/answer_liveness_test.ts
+++ b/packages/calls/src/answer_liveness_test.ts
@@ -27,10 +27,10 @@
 
 describe("probe of the stages", () => {
   /**
-   * One stage of three is frozen: the connection stands and nothing comes.
-   * Only that stage may be given up; the probe of it never answers at all.
+   * One stage of three is frozen: its connection stays open, and the probe of
+   * it never returns. Only that stage may be reported lost.
    */
-  it("the one silent stage is found, though its probe never ends", async () => {
+  it("finds a frozen stage whose probe never returns", async () => {
     const engines = createScriptedEngines([]);
     const { readState } = engines;
     engines.readState = (address) =>
@@ -47,11 +47,11 @@
 
 describe("token pace", () => {
   /**
-   * An answer has come at 10 ms a token; then at 2 s a token on a busy engine.
-   * The silence that is looked into follows the pace, within its bounds, so
+   * An answer has 30 ms between tokens, later 2 s on a busy engine. The silence
+   * after which stages are probed follows the average gap within its bounds, so
    * that neither a fast nor a slow engine is probed at each token.
    */
-  it("the silence that is looked into follows the pace", () => {
+  it("adapts the silence threshold within its bounds", () => {
     const pace = createTokenPace(defaultLiveness);
     const first = pace.silenceMs();
     pace.observe(30);
@@ -62,18 +62,18 @@
 });
 
 describe("event reader", () => {
-  /** A token comes just after the silence was noticed: it must not be lost. */
-  it("no event is lost by looking into a silence", async () => {
-    let give = (_event: EngineEvent) => {};
+  /** A token that arrives just after a timeout must not be lost. */
+  it("keeps an event that arrives after a timeout", async () => {
+    let sendEvent = (_event: EngineEvent) => {};
     async function* stream(): AsyncGenerator<EngineEvent> {
       yield await new Promise<EngineEvent>((resolve) => {
-        give = resolve;
+        sendEvent = resolve;
       });
     }
     const reader = createEventReader(stream());
     expect(await reader.next(1)).toEqual({ kind: "silent" });
     const event = { type: "started", attempt: 1 } as const;
-    give(event);
+    sendEvent(event);
     await new Promise((resolve) => setTimeout(resolve, 1));
     expect(reader.hasEvent()).toBe(true);
     expect(await reader.next(1_000)).toEqual({ kind: "event", event });
@@ -81,20 +81,20 @@
   });
 
   /**
-   * A caller reads slowly. Events that are read ahead of it would pile up in
-   * the entry instance; unread, they stay with the engine, which then waits.
+   * A caller reads slowly. Events read ahead of it would accumulate in the
+   * memory of the entry instance; unread ones apply backpressure to the engine.
    */
-  it("no event is read ahead of the caller", async () => {
-    let given = 0;
+  it("does not read ahead of the caller", async () => {
+    let eventsRead = 0;
     async function* stream(): AsyncGenerator<EngineEvent> {
       while (true) {
-        given += 1;
-        yield { type: "started", attempt: given };
+        eventsRead += 1;
+        yield { type: "started", attempt: eventsRead };
       }
     }
     const reader = createEventReader(stream());
     await reader.next(1_000);
     await new Promise((resolve) => setTimeout(resolve, 1));
-    expect(given).toBe(1);
+    expect(eventsRead).toBe(1);
   });
 });
--- a/packages/calls/src/answer_migration.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -1,20 +1,23 @@
-/** Moves a running answer off engines that are leaving or slow. */
+/** Migrates a running answer off engines that are leaving or slow. */
 import type { EngineFleet } from "@rosemarypin/backends";
 import type { Grant, Router } from "@rosemarypin/routing";
 import type { AnswerRequest, AttemptRequest } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 import type { TokenPace } from "./answer_liveness.ts";
-import { findWorse, type WorseEngines } from "./answer_migration_sources.ts";
+import {
+  findMigrationSources,
+  type MigrationSources,
+} from "./answer_migration_sources.ts";
 import type { Progress } from "./answer_progress.ts";
 import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 
-/** When an answer is moved. */
+/** Thresholds for migrating an answer. */
 export interface MoveLimits {
-  /** An answer that is expected to end, or to gain, less than this stays. */
+  /** Minimum expected remaining time or gain for a migration. */
   readonly restMs: number;
-  /** What a message must take longer than usual for its link to be slow. */
+  /** Excess over the typical send time from which a link counts as slow. */
   readonly slowMs: number;
-  /** How often its engines are looked at; the fleet reads no more often. */
+  /** Interval of checks; the fleet refreshes its state no more often. */
   readonly lookMs: number;
 }
 
@@ -26,29 +29,32 @@
 
 const log = createLogger("answer");
 
-/** How long a move waits for engines before the answer is looked at again. */
-const ACQUIRE_MS = 500;
-/** How long they are held for an answer that gives no token. */
-const HELD_MS = 1_000;
+/** How long a migration waits for engines before it is abandoned. */
+const ACQUIRE_TIMEOUT_MS = 500;
+/** How long acquired engines are reserved for an answer without new tokens. */
+const MIGRATION_OFFER_MS = 1_000;
 
-/** Other engines, held for the next attempt. */
-export interface Move {
+/** Engines acquired for the next attempt of a running answer. */
+export interface Migration {
   readonly grant: Grant;
-  /** Ends the turn among recoveries. */
+  /** Releases the slot of the recovery limiter. */
   readonly endTurn: () => void;
-  /** The engines that the answer leaves. */
+  /** The engines that the answer migrates off. */
   readonly from: readonly string[];
 }
 
-/** Looks after one attempt. */
-export interface Mover {
-  /** Called now and then; returns the move once other engines are held. */
-  ready(): Move | null;
-  /** Gives back what was got and not taken. */
+/** Prepares the migration of one attempt. */
+export interface Migrator {
+  /**
+   * Called after tokens. Checks the engines at intervals, and returns the
+   * migration once other engines are acquired. The receiver must release it.
+   */
+  ready(): Migration | null;
+  /** Cancels a migration in preparation and releases its engines. */
   stop(): void;
 }
 
-export interface MoverOptions {
+export interface MigratorOptions {
   readonly request: AnswerRequest;
   readonly attempt: AttemptRequest;
   readonly progress: Progress;
@@ -60,88 +66,98 @@
 }
 
 /**
- * Creates the mover of an attempt. An engine that leaves takes no new answer
- * but would have to stay until its last long one has ended, or cut it at the
- * end of its grace; one with a degraded link holds up each token. So others
- * are got first, while the answer goes on where it is: given up before, an
- * answer that finds none would be cut too.
+ * Creates the migrator of an attempt. Without migration, an engine that leaves
+ * would have to wait for its longest answer or cut it at the end of its grace
+ * period, and one with a degraded link would delay each token. Other engines
+ * are acquired while the attempt keeps running, so that an answer for which
+ * none are free isn't interrupted.
  */
-export function createMover(options: MoverOptions): Mover {
+export function createMigrator(options: MigratorOptions): Migrator {
   const { request, attempt, progress, fleet, router, pace, moves } = options;
   const stopped = new AbortController();
   const { signal } = stopped;
-  let lookedAt = performance.now();
-  let preparing = false;
-  let move: Move | null = null;
+  let lastCheckAt = performance.now();
+  let isPreparing = false;
+  let move: Migration | null = null;
 
-  function ready(): Move | null {
+  function ready(): Migration | null {
     if (move) {
       const taken = move;
       move = null;
       return taken;
     }
     const now = performance.now();
-    if (preparing || now - lookedAt < moves.lookMs) return null;
-    lookedAt = now;
-    const worse = findWorse(fleet.engines(), { ...attempt, ...rest() });
-    if (worse.from.length > 0) void prepare(worse);
+    if (isPreparing || now - lastCheckAt < moves.lookMs) return null;
+    lastCheckAt = now;
+    const migrationSources = findMigrationSources(fleet.engines(), {
+      ...attempt,
+      ...estimateRemaining(),
+    });
+    if (migrationSources.from.length > 0) void prepare(migrationSources);
     return null;
   }
 
-  function rest() {
+  function estimateRemaining() {
     const restTokens = request.maxTokens - progress.delivered.length;
     const restMs = restTokens * (pace.gapMs() ?? 0);
     const { restMs: leastMs, slowMs } = moves;
     return { restTokens, restMs, leastMs, slowMs };
   }
 
-  async function prepare(worse: WorseEngines): Promise<void> {
-    const { from } = worse;
-    preparing = true;
+  async function prepare(migrationSources: MigrationSources): Promise<void> {
+    const { from } = migrationSources;
+    isPreparing = true;
     try {
-      const grant = await acquire(worse);
+      const grant = await acquire(migrationSources);
       if (!grant) return;
-      // Moved all at once, the answers of one engine would hold up those of
-      // the engines that take them.
+      // Migrating all answers of an engine at once would delay the answers of
+      // the engines that receive them.
       const endTurn = await options.recoveries.takeTurn(
         request.priority,
         signal,
       );
-      if (endTurn && !signal.aborted) hold({ grant, endTurn, from });
-      else giveBack({ grant, endTurn });
+      if (endTurn && !signal.aborted) offerMigration({ grant, endTurn, from });
+      else releaseMigration({ grant, endTurn });
     } catch (error) {
-      // The answer goes on where it is; only the move is lost.
+      // The attempt keeps running on its engines without the migration.
       const reason = error instanceof Error ? error.message : String(error);
       log.warn("move_broke", { request: request.requestId, reason });
     } finally {
-      preparing = false;
+      isPreparing = false;
     }
   }
 
   /**
-   * A caller that does not read stops its answer, and the move is not taken.
-   * Held all the same, eight such callers would leave no turn for answers that
-   * have lost a stage.
+   * Offers the migration for a limited time. When the caller stops reading, the
+   * attempt stalls and doesn't take it. Without the limit, eight such callers
+   * would occupy all slots of the recovery limiter.
    */
-  function hold(held: Move): void {
-    move = held;
+  function offerMigration(offered: Migration): void {
+    move = offered;
     setTimeout(() => {
-      if (move !== held) return;
+      if (move !== offered) return;
       move = null;
-      giveBack(held);
-    }, HELD_MS).unref();
+      releaseMigration(offered);
+    }, MIGRATION_OFFER_MS).unref();
   }
 
-  async function acquire(worse: WorseEngines): Promise<Grant | null> {
+  async function acquire(
+    migrationSources: MigrationSources,
+  ): Promise<Grant | null> {
     const { version, avoid } = progress;
     if (!version) return null;
-    const latest = Math.min(Date.now() + ACQUIRE_MS, request.deadlineAt);
-    const stay = attempt.stages.map(({ engine }) => engine);
+    const acquireDeadlineAt = Math.min(
+      Date.now() + ACQUIRE_TIMEOUT_MS,
+      request.deadlineAt,
+    );
+    const currentEngines = attempt.stages.map(({ engine }) => engine);
     const result = await router.acquire({
-      request: { ...request, deadlineAt: latest },
+      request: { ...request, deadlineAt: acquireDeadlineAt },
       version,
-      avoid: new Set([...avoid, ...worse.avoid]),
-      prefer: new Set(stay.filter((engine) => !worse.avoid.has(engine))),
+      avoid: new Set([...avoid, ...migrationSources.avoid]),
+      prefer: new Set(
+        currentEngines.filter((engine) => !migrationSources.avoid.has(engine)),
+      ),
       isRecovery: true,
       signal,
     });
@@ -152,14 +168,14 @@
     ready,
     stop() {
       stopped.abort();
-      if (move) giveBack(move);
+      if (move) releaseMigration(move);
       move = null;
     },
   };
 }
 
-/** Gives a move's engines and turn back. */
-export function giveBack(move: {
+/** Releases the engines and the recovery slot of a migration. */
+export function releaseMigration(move: {
   readonly grant: Grant;
   readonly endTurn: (() => void) | null;
 }): void {
--- a/packages/calls/src/answer_migration_sources_test.ts
+++ b/packages/calls/src/answer_migration_sources_test.ts
@@ -1,7 +1,7 @@
 import type { KnownEngine } from "@rosemarypin/backends";
 import { scriptedAddress, scriptedState } from "@rosemarypin/fakes";
 import { describe, expect, it } from "vitest";
-import { findWorse } from "./answer_migration_sources.ts";
+import { findMigrationSources } from "./answer_migration_sources.ts";
 
 const LAYERS = { from: 0, to: 4 };
 
@@ -24,14 +24,14 @@
   };
 }
 
-/** An answer on engine 1, with 100 tokens to come in 2 s. */
-function find(engines: readonly KnownEngine[], restTokens = 100) {
+/** Sources for an answer on engine 1 that expects 20 ms per remaining token. */
+function findSources(engines: readonly KnownEngine[], restTokens = 100) {
   const stage = {
     engine: "engine-1",
     address: scriptedAddress(1),
     layers: LAYERS,
   };
-  const { from, avoid } = findWorse(engines, {
+  const { from, avoid } = findMigrationSources(engines, {
     model: "assist",
     stages: [stage],
     restTokens,
@@ -44,47 +44,52 @@
 
 describe("migration sources", () => {
   /**
-   * An engine's link degrades. It answers each probe, so nothing counts as lost,
-   * and a mechanic's answer crawls on, 40 ms later with each token.
+   * An engine's link degrades. The engine responds to probes, so it isn't taken
+   * for lost, but delays each token by 40 ms.
    */
-  it("an engine that is slow beside its peers is left", () => {
+  it("include an engine that is slower than its peers", () => {
     const peers = [engine(2, { sendMs: 1 }), engine(3, { sendMs: 2 })];
     const slow = engine(1, { sendMs: 42 });
-    expect(find([slow, ...peers])).toEqual({
+    expect(findSources([slow, ...peers])).toEqual({
       from: ["engine-1"],
       avoid: ["engine-1"],
     });
-    expect(find([slow, engine(2, { sendMs: 1 })]).from).toEqual(["engine-1"]);
+    expect(findSources([slow, engine(2, { sendMs: 1 })]).from).toEqual([
+      "engine-1",
+    ]);
   });
 
-  /** A whole domain on slow links has nothing better to offer. */
+  /** No migration without a clear gain. */
   it.each([
-    ["all peers are as slow", [42, 42, 42], 100],
-    ["it is hardly slower", [12, 1, 2], 100],
-    ["there is little to gain", [42, 1, 2], 10],
-    ["it is the only one", [42], 100],
-  ])("but not when %s", (_name, times, restTokens) => {
+    ["that is as slow as all its peers", [42, 42, 42], 100],
+    ["that is slower by less than the threshold", [12, 1, 2], 100],
+    ["when the gain is too small", [42, 1, 2], 10],
+    ["that is the only one with its layers", [42], 100],
+  ])("exclude an engine %s", (_name, times, restTokens) => {
     const engines = times.map((sendMs, index) => engine(index + 1, { sendMs }));
-    expect(find(engines, restTokens).from).toEqual([]);
+    expect(findSources(engines, restTokens).from).toEqual([]);
   });
 
-  it("a leaving engine is left by answers with enough to come", () => {
+  it("include a leaving engine if enough tokens remain", () => {
     const engines = [
       engine(1, { leaving: true }),
       engine(2, { leaving: true }),
     ];
     const avoid = ["engine-1", "engine-2"];
-    expect(find(engines)).toEqual({ from: ["engine-1"], avoid });
-    expect(find(engines, 10)).toEqual({ from: [], avoid });
+    expect(findSources(engines)).toEqual({ from: ["engine-1"], avoid });
+    expect(findSources(engines, 10)).toEqual({ from: [], avoid });
   });
 
   /**
-   * An engine leaves, and the only other one with its layers is on a slow link.
-   * Avoided as slow, it would leave the answer nowhere to go before the stop.
+   * An engine leaves, and another one with its layers has a slow link. If slow
+   * engines were avoided as well, the answer might have no target left.
    */
-  it("an answer may move from a leaving engine to a slow one", () => {
+  it("allow a slow engine as the target for a leaving one", () => {
     const slow = engine(2, { sendMs: 42 });
     const engines = [engine(1, { leaving: true }), slow, engine(3, {})];
-    expect(find(engines)).toEqual({ from: ["engine-1"], avoid: ["engine-1"] });
+    expect(findSources(engines)).toEqual({
+      from: ["engine-1"],
+      avoid: ["engine-1"],
+    });
   });
 });
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -17,8 +17,8 @@
 import type { AnswerEvent } from "./answer_event.ts";
 import { createLinkSpeeds } from "./answer_link_speeds.ts";
 import { createTokenPace, defaultLiveness } from "./answer_liveness.ts";
-import { createMover } from "./answer_migration.ts";
-import { emptyProgress } from "./answer_progress.ts";
+import { createMigrator } from "./answer_migration.ts";
+import { createProgress } from "./answer_progress.ts";
 import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 const SPEED = {
@@ -28,8 +28,8 @@
   linkMs: 0.1,
   batchSize: 8,
 };
-/** A busy machine must not look like a lost stage. */
-const PATIENT = {
+/** Long enough that a busy machine doesn't make a stage look lost. */
+const LONG_TIMEOUTS = {
   startMs: 10_000,
   firstTokenMs: 10_000,
   shortestSilenceMs: 10_000,
@@ -37,10 +37,10 @@
   probeMs: 10_000,
   lostMessageMs: 10_000,
 };
-/** So dear that an import is the cheaper way, however busy the machine is. */
+/** High enough that an import is always cheaper than recomputing. */
 const PROMPT_MICROS = 1_000_000;
 const LAYERS = 8;
-const LEAVE_AT = 3;
+const LEAVE_AT_TOKEN = 3;
 const SLOW_MS = 20;
 
 let group: EngineGroup;
@@ -87,19 +87,19 @@
   };
 }
 
-/** A fleet whose engines say that prompts are dear. */
-function withDearPrompts(real: EngineFleet): EngineFleet {
+/** A fleet whose engines report a high cost of recomputing prompts. */
+function withExpensivePrompts(realFleet: EngineFleet): EngineFleet {
   const engines = () =>
-    real.engines().map((known) => {
+    realFleet.engines().map((known) => {
       const { state } = known;
       if (!state) return known;
       return { ...known, state: { ...state, promptMicros: PROMPT_MICROS } };
     });
-  return { ...real, engines };
+  return { ...realFleet, engines };
 }
 
-/** Runs an answer; the engine of `stage` leaves, or slows down, in it. */
-async function runWhileLeaving(
+/** Runs an answer during which the engine of `stage` leaves or slows down. */
+async function runAndMigrate(
   stage: number,
   options: { readonly restMs?: number; readonly linkMs?: number } = {},
 ) {
@@ -124,9 +124,9 @@
       objectives: settingsSchema.shape.objectives.parse(undefined),
       seed: 1,
     }),
-    fleet: withDearPrompts(fleet),
+    fleet: withExpensivePrompts(fleet),
     engines,
-    liveness: PATIENT,
+    liveness: LONG_TIMEOUTS,
     recoveries: createRecoveryLimiter(),
     links: createLinkSpeeds(),
     moves: { restMs: options.restMs ?? 0, slowMs: SLOW_MS, lookMs: 1 },
@@ -134,14 +134,14 @@
   });
   for await (const event of answer) {
     events.push(event);
-    if (event.type === "token" && event.index === LEAVE_AT) await leave();
+    if (event.type === "token" && event.index === LEAVE_AT_TOKEN) await leave();
   }
   return { ...summarize(events), leaving };
 
   async function leave(): Promise<void> {
     const from = stage * 4;
-    const run = group.journal.findLast((one) => one.from === from);
-    leaving = run?.engine ?? "";
+    const lastRun = group.journal.findLast((run) => run.from === from);
+    leaving = lastRun?.engine ?? "";
     if (options.linkMs) return group.slowLink(leaving, options.linkMs);
     await group.leave(leaving);
     const known = group.engines.find(({ id }) => id === leaving);
@@ -170,7 +170,7 @@
   return { tokens, digest };
 }
 
-/** Positions that each attempt ran on layers of `from`, in order. */
+/** Positions that an attempt ran on the layers from `from`, in order. */
 function positionsOf(attempt: number, from: number): number[] {
   return group.journal
     .filter((run) => run.attempt === attempt && run.from === from)
@@ -185,38 +185,44 @@
 
 describe("migration", () => {
   /**
-   * A planner's long draft runs on an engine that is to be replaced. Left there,
-   * it holds the engine up until its grace ends and is cut then. So it moves on,
-   * with its KV cache: no position runs again, and the planner sees one answer.
+   * An engine is drained while a long answer runs on it. The answer must
+   * migrate with its KV cache, recompute no position and stay complete;
+   * otherwise it would block the drain and be cut at the end of the grace
+   * period.
    */
-  it.each([0, 1])("moves off a leaving engine of stage %i", async (stage) => {
-    await startEngines(2);
-    const { leaving, ...answer } = await runWhileLeaving(stage);
-    expect(answer).toEqual(expected());
-    const onLeaving = group.journal.filter(({ engine }) => engine === leaving);
-    expect(new Set(onLeaving.map(({ attempt }) => attempt))).toEqual(
-      new Set([1]),
-    );
-    const moved = group.journal.filter(({ imported }) => imported);
-    expect(moved).toMatchObject([
-      { attempt: 2, imported: { engine: leaving } },
-    ]);
-    const start = moved[0]?.position ?? 0;
-    expect(start).toBeGreaterThan(LEAVE_AT);
-    for (const from of [0, 4]) {
-      const positions = positionsOf(2, from);
-      expect(positions).toEqual(positions.map((_, index) => start + index));
-    }
-  });
+  it.each([0, 1])(
+    "moves an answer off a leaving engine of stage %i",
+    async (stage) => {
+      await startEngines(2);
+      const { leaving, ...answer } = await runAndMigrate(stage);
+      expect(answer).toEqual(expected());
+      const onLeaving = group.journal.filter(
+        ({ engine }) => engine === leaving,
+      );
+      expect(new Set(onLeaving.map(({ attempt }) => attempt))).toEqual(
+        new Set([1]),
+      );
+      const moved = group.journal.filter(({ imported }) => imported);
+      expect(moved).toMatchObject([
+        { attempt: 2, imported: { engine: leaving } },
+      ]);
+      const start = moved[0]?.position ?? 0;
+      expect(start).toBeGreaterThan(LEAVE_AT_TOKEN);
+      for (const from of [0, 4]) {
+        const positions = positionsOf(2, from);
+        expect(positions).toEqual(positions.map((_, index) => start + index));
+      }
+    },
+  );
 
   /**
-   * The transfer breaks. The answer must neither be cut nor try the same again:
-   * the next attempt recomputes.
+   * The cache transfer fails. The answer must not fail and must not retry the
+   * same transfer: the next attempt recomputes.
    */
-  it("recomputes when the transfer breaks", async () => {
+  it("recomputes when the cache transfer fails", async () => {
     await startEngines(2);
     exportBreaks = true;
-    const { leaving, ...answer } = await runWhileLeaving(1);
+    const { leaving, ...answer } = await runAndMigrate(1);
     expect(answer).toEqual(expected());
     expect(group.journal.filter(({ imported }) => imported)).toEqual([]);
     expect(positionsOf(3, 0)[0]).toBe(0);
@@ -225,12 +231,13 @@
   });
 
   /**
-   * The only engine with its layers leaves. Given up before others are held, the
-   * answer would be cut, though the engine would have served it to its end.
+   * The only engine with some layers leaves. If the attempt ended before other
+   * engines were acquired, the answer would fail, although the leaving engine
+   * could still complete it.
    */
-  it("stays when no other engine has the layers", async () => {
+  it("leaves an answer in place if no other engine has its layers", async () => {
     await startEngines(1);
-    const { leaving, ...answer } = await runWhileLeaving(1);
+    const { leaving, ...answer } = await runAndMigrate(1);
     expect(answer).toEqual(expected());
     expect(new Set(group.journal.map(({ attempt }) => attempt))).toEqual(
       new Set([1]),
@@ -238,21 +245,21 @@
     expect(leaving).not.toBe("");
   });
 
-  it("stays when the answer is about to end", async () => {
+  it("leaves an answer in place that is about to end", async () => {
     await startEngines(2);
-    const { digest } = await runWhileLeaving(1, { restMs: 60_000 });
+    const { digest } = await runAndMigrate(1, { restMs: 60_000 });
     expect(digest).toBe(expected().digest);
     expect(group.journal.every(({ attempt }) => attempt === 1)).toBe(true);
   });
 
   /**
-   * The link of one engine degrades in the middle of an answer: each token comes
-   * 100 ms later, though every engine answers its probes. The answer goes on
-   * over another engine, whole.
+   * The link of one engine degrades during an answer: each token takes 100 ms
+   * longer, though all engines respond to probes. The answer must continue on
+   * another engine and stay complete.
    */
-  it("moves off an engine whose link is slow", async () => {
+  it("moves an answer off an engine with a slow link", async () => {
     await startEngines(2);
-    const slowed = await runWhileLeaving(1, { linkMs: 100 });
+    const slowed = await runAndMigrate(1, { linkMs: 100 });
     const { leaving, ...answer } = slowed;
     expect(answer).toEqual(expected());
     const last = group.journal.findLast(({ from }) => from === 4);
@@ -260,18 +267,18 @@
   });
 
   /**
-   * Callers stop to read while their answers move off an engine. Each held move
-   * has one of eight turns: kept, they would hold up every answer that has lost a
-   * stage, for as long as those callers like.
+   * Callers stop reading while their answers migrate. Each prepared migration
+   * occupies one of eight recovery slots; without a time limit they would block
+   * the recovery of all answers that lost a stage.
    */
-  it("a move that is not taken is given back", async () => {
+  it("is released when the answer does not take it", async () => {
     await startEngines(1);
     const [first] = group.engines;
-    if (!first) throw new Error("there is an engine");
+    if (!first) throw new Error("the group has no engine");
     const engines = createEngineClient();
     fleet = createEngineFleet({ engines: group.engines, client: engines });
     const state = await engines.readState(first.address);
-    if (!state) throw new Error("the engine answers");
+    if (!state) throw new Error("the engine did not return its state");
     vi.useFakeTimers();
     const leaving = { ...state, leaving: true };
     const known = {
@@ -284,7 +291,7 @@
     const stage = { engine: first.id, address: first.address, layers };
     const released = vi.fn();
     const limiter = createRecoveryLimiter({ atOnce: 1 });
-    const progress = emptyProgress();
+    const progress = createProgress();
     progress.version =
       serveVersions({
         number: 1,
@@ -292,7 +299,7 @@
         versions: ["v1"],
         layers: LAYERS,
       }).catalogue.models.assist?.versions.v1 ?? null;
-    const mover = createMover({
+    const mover = createMigrator({
       request: request(),
       attempt: {
         ...request(),
--- a/packages/calls/src/answer_progress.ts
+++ b/packages/calls/src/answer_progress.ts
@@ -1,4 +1,4 @@
-/** What one answer has reached, over all its attempts. */
+/** State of an answer across its attempts. */
 import type {
   AnswerProvenance,
   AnswerRequest,
@@ -8,12 +8,13 @@
   Stage,
 } from "@rosemarypin/schemas";
 
-/** KV cache of the answer's delivered tokens on one engine. */
-interface KeptCache {
+/** KV cache that one engine holds for the delivered tokens. */
+interface EngineCache {
   readonly layers: LayerRange;
   readonly incarnation: number | undefined;
 }
 
+/** Mutable state of an answer, updated by each attempt. */
 export interface Progress {
   readonly delivered: string[];
   digest: string;
@@ -22,17 +23,18 @@
   attempt: number;
   /** Attempts since the last new token. */
   fruitless: number;
-  /** Whether an engine may have run any of it. */
+  /** Whether an engine may have run part of the answer. */
   started: boolean;
-  /** When the loss of a stage was seen, until the next token. */
+  /** Time at which a stage was found lost; reset by the next token. */
   lostAt: number | null;
+  /** Engines that failed this answer, by name. */
   readonly avoid: Set<string>;
-  /** Engines that still have the KV cache, by name. */
-  readonly kept: Map<string, KeptCache>;
+  /** KV caches of the answer, by engine name. */
+  readonly kept: Map<string, EngineCache>;
 }
 
-/** An answer of which nothing ran yet. */
-export function emptyProgress(): Progress {
+/** Creates the state of an answer that has not started. */
+export function createProgress(): Progress {
   return {
     delivered: [],
     digest: "",
@@ -47,8 +49,8 @@
   };
 }
 
-/** The next attempt, which counts on the KV caches that are still there. */
-export function describeAttempt(
+/** Builds the request of the next attempt, which reuses the KV caches. */
+export function buildAttemptRequest(
   request: AnswerRequest,
   options: {
     readonly progress: Progress;
@@ -98,12 +100,12 @@
 }
 
 /**
- * Notes which engines have the KV cache of all delivered tokens. A token
- * shows that all stages had it. Without one, only stages that the attempt
- * did not make run earlier positions again are sure to have it still; an
- * import may not have come to its end.
+ * Updates the KV caches after an attempt. An attempt that delivered a token
+ * proves that all its stages have the cache, and makes other caches stale.
+ * Otherwise a stage still has its cache only if neither it nor a later stage
+ * had to recompute or import: an import may be incomplete.
  */
-export function rememberCaches(
+export function updateCaches(
   progress: Progress,
   options: {
     readonly attempt: AttemptRequest;
@@ -114,12 +116,12 @@
   const { attempt, gaveToken, incarnations } = options;
   const { stages } = attempt;
   stages.forEach(({ engine, layers, keptPositions, importFrom }, index) => {
-    const later = stages.slice(index);
-    const untouched =
+    const followingStages = stages.slice(index);
+    const isCacheIntact =
       keptPositions !== undefined &&
       !importFrom &&
-      later.every((stage) => stage.keptPositions !== undefined);
-    if (!gaveToken && !untouched) {
+      followingStages.every((stage) => stage.keptPositions !== undefined);
+    if (!gaveToken && !isCacheIntact) {
       progress.kept.delete(engine);
       return;
     }
@@ -127,14 +129,14 @@
     progress.kept.set(engine, { layers, incarnation });
   });
   if (!gaveToken) return;
-  const names = new Set(stages.map(({ engine }) => engine));
+  const stageEngines = new Set(stages.map(({ engine }) => engine));
   for (const engine of progress.kept.keys()) {
-    if (!names.has(engine)) progress.kept.delete(engine);
+    if (!stageEngines.has(engine)) progress.kept.delete(engine);
   }
 }
 
-/** Facts about the whole answer. */
-export function provenanceOf(progress: Progress): AnswerProvenance {
+/** Provenance reported at the end of the answer. */
+export function toProvenance(progress: Progress): AnswerProvenance {
   return {
     version: progress.version?.version ?? "",
     noteNumber: progress.noteNumber,
--- a/packages/calls/src/answer_recovery_limiter.ts
+++ b/packages/calls/src/answer_recovery_limiter.ts
@@ -1,17 +1,16 @@
-/** Lets only so many answers recover at once, the urgent ones first. */
+/** Limits concurrent recoveries of answers, by priority. */
 import { type Priority, prioritySchema } from "@rosemarypin/schemas";
 import type { Metrics } from "@rosemarypin/telemetry";
 
-/** Recoveries of one instance at once. */
-const AT_ONCE = 8;
+const MAX_CONCURRENT_RECOVERIES = 8;
 
-/** Gives turns to answers that lost a stage. */
+/** Slots for answers that recover from a lost stage or migrate. */
 export interface RecoveryLimiter {
   /**
-   * Resolves to how to end the turn, or to `null` when the caller left.
-   * Losing one engine hits each answer on it in the same moment; rebuilt all
-   * at once their prompts would hold up every other answer of the engines
-   * that are left, which then look frozen and are given up in their turn.
+   * Waits for a slot. Resolves to a function that releases it, or to `null`
+   * when `signal` is aborted first. The loss of one engine affects all of its
+   * answers at once. Recomputing all their prompts concurrently would stall the
+   * remaining engines, which would then be taken for frozen and abandoned.
    */
   takeTurn(
     priority: Priority,
@@ -24,32 +23,32 @@
   start(): void;
 }
 
-/** Creates the limiter of one instance. */
+/** Creates a limiter, which all answers of an instance share. */
 export function createRecoveryLimiter(
   options: { readonly atOnce?: number; readonly metrics?: Metrics } = {},
 ): RecoveryLimiter {
-  const { atOnce = AT_ONCE, metrics } = options;
+  const { atOnce = MAX_CONCURRENT_RECOVERIES, metrics } = options;
   const waiting: Waiter[] = [];
-  let running = 0;
+  let occupiedSlots = 0;
 
-  function begin(): () => void {
-    running += 1;
-    let ended = false;
+  function occupySlot(): () => void {
+    occupiedSlots += 1;
+    let isReleased = false;
     return () => {
-      if (ended) return;
-      ended = true;
-      running -= 1;
-      takeNext()?.start();
+      if (isReleased) return;
+      isReleased = true;
+      occupiedSlots -= 1;
+      shiftMostUrgent()?.start();
     };
   }
 
-  function takeNext(): Waiter | undefined {
+  function shiftMostUrgent(): Waiter | undefined {
     const [first] = [...waiting].sort((a, b) => a.rank - b.rank);
-    if (first) leave(first);
+    if (first) removeWaiter(first);
     return first;
   }
 
-  function leave(waiter: Waiter): void {
+  function removeWaiter(waiter: Waiter): void {
     const index = waiting.indexOf(waiter);
     if (index >= 0) waiting.splice(index, 1);
     metrics?.recoveriesWaiting.set(waiting.length);
@@ -58,17 +57,17 @@
   return {
     takeTurn(priority, signal) {
       if (signal.aborted) return Promise.resolve(null);
-      if (running < atOnce) return Promise.resolve(begin());
+      if (occupiedSlots < atOnce) return Promise.resolve(occupySlot());
       return new Promise((resolve) => {
         const onAbort = () => {
-          leave(waiter);
+          removeWaiter(waiter);
           resolve(null);
         };
         const waiter: Waiter = {
           rank: prioritySchema.options.indexOf(priority),
           start() {
             signal.removeEventListener("abort", onAbort);
-            resolve(begin());
+            resolve(occupySlot());
           },
         };
         signal.addEventListener("abort", onAbort, { once: true });
--- a/packages/calls/src/answer_recovery_limiter_test.ts
+++ b/packages/calls/src/answer_recovery_limiter_test.ts
@@ -1,25 +1,25 @@
 import { describe, expect, it } from "vitest";
 import { createRecoveryLimiter } from "./answer_recovery_limiter.ts";
 
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 describe("recovery limiter", () => {
   /**
-   * A machine with 200 answers dies. All of them rebuilt at once would stop
-   * every other answer on the engines that are left, which then look frozen:
-   * the loss of one machine would take down the rest. So few recover at once;
-   * a mechanic's answer goes before a batch draft that came earlier.
+   * A machine with 200 answers fails. Recovering all of them at once would
+   * stall the remaining engines, which would then be taken for frozen: a
+   * cascading failure. Recoveries are therefore limited, and an interactive
+   * answer goes before a batch answer that has waited longer.
    */
-  it("recoveries wait for their turn, the urgent ones first", async () => {
+  it("limits concurrent recoveries and serves urgent ones first", async () => {
     const limiter = createRecoveryLimiter({ atOnce: 2 });
     const order: string[] = [];
-    const first = await limiter.takeTurn("batch", never);
-    const second = await limiter.takeTurn("batch", never);
+    const first = await limiter.takeTurn("batch", neverAborted);
+    const second = await limiter.takeTurn("batch", neverAborted);
     const waiting = (["batch", "standard", "interactive"] as const).map(
       async (priority) => {
-        const end = await limiter.takeTurn(priority, never);
+        const releaseSlot = await limiter.takeTurn(priority, neverAborted);
         order.push(priority);
-        return end;
+        return releaseSlot;
       },
     );
     await Promise.resolve();
@@ -33,13 +33,15 @@
     expect(order).toEqual(["interactive", "standard", "batch"]);
   });
 
-  /** A caller leaves while its answer waits: the turn must go to the next. */
-  it("a caller that left takes no turn", async () => {
+  /**
+   * A caller disconnects while its answer waits: the next one gets the slot.
+   */
+  it("gives no slot to a caller that has disconnected", async () => {
     const limiter = createRecoveryLimiter({ atOnce: 1 });
     const left = new AbortController();
-    const first = await limiter.takeTurn("standard", never);
+    const first = await limiter.takeTurn("standard", neverAborted);
     const leaving = limiter.takeTurn("interactive", left.signal);
-    const staying = limiter.takeTurn("batch", never);
+    const staying = limiter.takeTurn("batch", neverAborted);
     left.abort();
     expect(await leaving).toBeNull();
     first?.();
--- a/packages/calls/src/answer_resume.ts
+++ b/packages/calls/src/answer_resume.ts
@@ -1,11 +1,11 @@
-/** Goes on with an answer whose entry instance or connection was lost. */
+/** Resumes an answer whose entry instance or connection was lost. */
 import type { ParkedAnswers } from "@rosemarypin/backends";
 import { mayContinue } from "@rosemarypin/release";
 import type { AnswerRequest, ParkedAnswer } from "@rosemarypin/schemas";
 import { type AnswerDependencies, runAnswer } from "./answer.ts";
 import type { AnswerEvent } from "./answer_event.ts";
 import { readIncarnations } from "./answer_liveness.ts";
-import { emptyProgress, type Progress } from "./answer_progress.ts";
+import { createProgress, type Progress } from "./answer_progress.ts";
 import {
   badCall,
   type CallFailure,
@@ -13,26 +13,25 @@
   withdrawnBy,
 } from "./call_failure.ts";
 
-/** A caller may send the request again at once: its answer is gone. */
-const LOST_RETRY_SECONDS = 1;
+const LOST_ANSWER_RETRY_SECONDS = 1;
 const NO_NOTE_RETRY_SECONDS = 2;
 const EVENT_ID = /^([0-9a-zA-Z-]{1,64})@([0-9a-zA-Z._-]{1,63}):(\d{1,6})$/;
 
-/** Where an answer can be found again, and what its caller has of it. */
+/** Position in an answer's event stream, sent as its server-sent event id. */
 export interface EventId {
   readonly requestId: string;
-  /** Engine of the first stage, which keeps the answer for a while. */
+  /** Engine of the first stage, which stores the answer for a limited time. */
   readonly engine: string;
-  /** Index of the token. */
+  /** Index of the last received token. */
   readonly index: number;
 }
 
-/** The id of a token's server-sent event. */
+/** Formats the id of a token's server-sent event. */
 export function formatEventId({ requestId, engine, index }: EventId): string {
   return `${requestId}@${engine}:${index}`;
 }
 
-/** Reads an id that a caller sent back; `null` when it is none of ours. */
+/** Parses a `Last-Event-ID`; `null` when the format is not ours. */
 export function parseEventId(text: string): EventId | null {
   const match = EVENT_ID.exec(text);
   if (!match) return null;
@@ -47,12 +46,12 @@
 export interface ResumeRequest {
   readonly last: EventId;
   readonly organisation: string;
-  /** The organisation's share, as its other requests have it. */
+  /** Fair-queueing weight of the organisation. */
   readonly weight: number;
   readonly deadlineAt: number;
 }
 
-/** The rest of an answer, or why there is none. */
+/** The remaining events of an answer, or the failure to resume it. */
 export type ResumedAnswer =
   | {
       readonly kind: "resumed";
@@ -62,32 +61,34 @@
   | { readonly kind: "failed"; readonly failure: CallFailure };
 
 /**
- * Sends what the caller does not have yet. The engine of the first stage has
- * seen every token that a caller may have, so the caller's last index tells
- * exactly what is missing; a later attempt then goes on, which ends what the
- * earlier instance may still run.
+ * Resumes an answer after the last event that the caller received. The engine
+ * of the first stage stores every token that the caller can have received, so
+ * the missing ones are replayed from there. A new attempt then continues the
+ * answer and cancels an attempt that the previous instance may still run.
  */
 export async function resumeAnswer(
   resume: ResumeRequest,
   options: ResumeDependencies & { readonly signal: AbortSignal },
 ): Promise<ResumedAnswer> {
   const { engine, requestId } = resume.last;
-  const known = options.fleet
+  const firstEngine = options.fleet
     .engines()
     .find(({ settings }) => settings.id === engine);
-  if (!known) return { kind: "failed", failure: lostAnswer() };
-  const { address } = known.settings;
-  const found = await options.parked.readAnswer(address, requestId);
-  if (found.kind !== "found") return { kind: "failed", failure: lostAnswer() };
-  const { answer } = found;
-  const failure = await refuse(answer, { resume, ...options });
+  if (!firstEngine)
+    return { kind: "failed", failure: createLostAnswerFailure() };
+  const { address } = firstEngine.settings;
+  const readResult = await options.parked.readAnswer(address, requestId);
+  if (readResult.kind !== "found")
+    return { kind: "failed", failure: createLostAnswerFailure() };
+  const { answer } = readResult;
+  const failure = await checkResumable(answer, { resume, ...options });
   if (failure) return { kind: "failed", failure };
   const { model } = answer.request;
-  const events = runRest(answer, { ...options, resume });
+  const events = streamRemaining(answer, { ...options, resume });
   return { kind: "resumed", model, events };
 }
 
-async function* runRest(
+async function* streamRemaining(
   answer: ParkedAnswer,
   options: ResumeDependencies & {
     readonly signal: AbortSignal;
@@ -109,20 +110,22 @@
   yield* runAnswer(restoreRequest(answer, resume), { ...options, progress });
 }
 
-async function refuse(
+async function checkResumable(
   { request, tokens }: ParkedAnswer,
   options: AnswerDependencies & { readonly resume: ResumeRequest },
 ): Promise<CallFailure | null> {
   const { resume, keeper } = options;
-  // Another organisation learns nothing, not even that the answer exists.
-  if (request.organisation !== resume.organisation) return lostAnswer();
+  // Same failure as for a missing answer: other organisations must not learn
+  // that the answer exists.
+  if (request.organisation !== resume.organisation)
+    return createLostAnswerFailure();
   if (resume.last.index >= tokens.length) {
     const message = "last-event-id is ahead of the answer";
     return badCall("bad_event_id", { message, status: 400 });
   }
-  // Without a note that holds, the tokens may be those of a withdrawn batch.
+  // Without a valid note, the tokens may be of a withdrawn version.
   const record = await keeper.fresh();
-  if (!record) return noNote();
+  if (!record) return createNoNoteFailure();
   if (mayContinue(record, request)) return null;
   return withdrawnBy(record.number, {
     what: `version '${request.version}' of model '${request.model}'`,
@@ -130,7 +133,7 @@
   });
 }
 
-function noNote(): CallFailure {
+function createNoNoteFailure(): CallFailure {
   return failedRun("no_release_note", {
     message: "this instance has no release note to answer from; ask again",
     retryAfterSeconds: NO_NOTE_RETRY_SECONDS,
@@ -161,7 +164,7 @@
   { request, tokens, digest }: ParkedAnswer,
   options: AnswerDependencies,
 ): Progress {
-  const progress = emptyProgress();
+  const progress = createProgress();
   progress.delivered.push(...tokens);
   const catalogue = options.keeper.current()?.catalogue;
   const model = catalogue?.models[request.model];
@@ -170,8 +173,8 @@
   progress.digest = digest;
   progress.attempt = request.attempt;
   progress.started = true;
-  // A token shows that each stage had the KV cache when it was made; an
-  // engine that lost it since says so, and the next attempt rebuilds it.
+  // A new token proves that each stage had the KV cache. An engine that has
+  // lost it since reports that, and the attempt after it recomputes.
   if (tokens.length === request.deliveredTokens.length) return progress;
   const incarnations = readIncarnations(options.fleet);
   for (const { engine, layers } of request.stages) {
@@ -181,9 +184,9 @@
   return progress;
 }
 
-function lostAnswer(): CallFailure {
+function createLostAnswerFailure(): CallFailure {
   return failedRun("answer_lost", {
     message: "no engine has this answer any more; send the request again",
-    retryAfterSeconds: LOST_RETRY_SECONDS,
+    retryAfterSeconds: LOST_ANSWER_RETRY_SECONDS,
   });
 }
--- a/packages/calls/src/answer_resume_test.ts
+++ b/packages/calls/src/answer_resume_test.ts
@@ -31,7 +31,7 @@
   linkMs: 0.1,
   batchSize: 8,
 };
-const never = new AbortController().signal;
+const neverAborted = new AbortController().signal;
 
 let group: EngineGroup;
 let fleets: EngineFleet[];
@@ -83,8 +83,8 @@
   };
 }
 
-async function until(holds: () => boolean): Promise<void> {
-  while (!holds()) await new Promise((resolve) => setTimeout(resolve, 5));
+async function until(isTrue: () => boolean): Promise<void> {
+  while (!isTrue()) await new Promise((resolve) => setTimeout(resolve, 5));
 }
 
 function request(): AnswerRequest {
@@ -101,19 +101,24 @@
   };
 }
 
-/** Reads the answer until its entry instance is gone. */
-async function cutAfter(
+/**
+ * Reads `count` events of the answer, then drops it as a lost instance does.
+ */
+async function disconnectAfter(
   count: number,
   instance: ResumeDependencies,
 ): Promise<AnswerEvent[]> {
-  const left = new AbortController();
+  const callerAbort = new AbortController();
   const events: AnswerEvent[] = [];
-  const answer = runAnswer(request(), { ...instance, signal: left.signal });
+  const answer = runAnswer(request(), {
+    ...instance,
+    signal: callerAbort.signal,
+  });
   for await (const event of answer) {
     events.push(event);
     if (events.length === count) break;
   }
-  left.abort();
+  callerAbort.abort();
   return events;
 }
 
@@ -127,7 +132,7 @@
   const { deadlineAt } = request();
   const result = await resumeAnswer(
     { last, organisation, weight: 1, deadlineAt },
-    { ...instance, signal: never },
+    { ...instance, signal: neverAborted },
   );
   if (result.kind === "failed") return result.failure.code;
   const events: AnswerEvent[] = [];
@@ -142,7 +147,7 @@
   maxTokens: 12,
 });
 
-function texts(events: readonly AnswerEvent[]): string[] {
+function tokenTexts(events: readonly AnswerEvent[]): string[] {
   return events.flatMap((event) =>
     event.type === "token" ? [event.text] : [],
   );
@@ -150,15 +155,16 @@
 
 describe("resume", () => {
   /**
-   * The entry instance dies after four tokens. The clerk's program reconnects
-   * to another one and names the last event that it read: the rest must come,
-   * no token lost or doubled, and the prompt must not be computed again.
+   * The entry instance fails after four tokens. The caller reconnects to
+   * another one with the id of the last event that it read. It must get the
+   * remaining tokens, none lost or repeated, and the prompt must not be
+   * recomputed.
    */
-  it("another instance goes on after the last event", async () => {
-    const before = await cutAfter(4, await startInstance());
+  it("continues on another instance after the last event", async () => {
+    const before = await disconnectAfter(4, await startInstance());
     const after = await resumeAt(3);
     if (typeof after === "string") throw new Error(after);
-    expect(texts([...before, ...after])).toEqual(expected.tokens);
+    expect(tokenTexts([...before, ...after])).toEqual(expected.tokens);
     const last = after.at(-1);
     expect(last?.type === "done" && last.provenance.digest).toBe(
       expected.digest,
@@ -168,76 +174,76 @@
   });
 
   /**
-   * The engine had sent more tokens than the clerk's program got before the
-   * connection broke; those in between must be sent again from what is kept.
+   * The engine had sent more tokens than the caller received before the
+   * connection broke. The missing ones must be replayed from the stored answer.
    */
-  it("tokens that got lost on the way are sent again", async () => {
-    await cutAfter(6, await startInstance());
+  it("replays tokens that the caller did not receive", async () => {
+    await disconnectAfter(6, await startInstance());
     const after = await resumeAt(1);
     if (typeof after === "string") throw new Error(after);
-    expect(texts(after)).toEqual(expected.tokens.slice(2));
+    expect(tokenTexts(after)).toEqual(expected.tokens.slice(2));
   });
 
-  /** The last event was lost with its connection, after the answer's end. */
-  it("an answer that ended is still there for a while", async () => {
-    await cutAfter(expected.tokens.length, await startInstance());
+  /** The connection broke before the caller received the end of the answer. */
+  it("replays the end of a completed answer", async () => {
+    await disconnectAfter(expected.tokens.length, await startInstance());
     const after = await resumeAt(expected.tokens.length - 2);
     if (typeof after === "string") throw new Error(after);
-    expect(texts(after)).toEqual(expected.tokens.slice(-1));
+    expect(tokenTexts(after)).toEqual(expected.tokens.slice(-1));
     expect(after.at(-1)?.type).toBe("done");
   });
 
   /**
-   * Ids of requests turn up in logs and mails. Someone of another organisation
-   * who sends one must not get the answer, nor learn that there is one.
+   * Request ids appear in logs and mails. A caller of another organisation that
+   * sends one must not get the answer nor learn that it exists.
    */
-  it("another organisation gets nothing", async () => {
-    await cutAfter(4, await startInstance());
+  it("reports an answer of another organisation as lost", async () => {
+    await disconnectAfter(4, await startInstance());
     expect(await resumeAt(3, { organisation: "lagos" })).toBe("answer_lost");
   });
 
-  /** The version is recalled between the cut and the caller's return. */
-  it("the rest of a withdrawn answer is not given", async () => {
-    await cutAfter(4, await startInstance());
+  /** The version is recalled before the caller reconnects. */
+  it("refuses an answer whose version was withdrawn", async () => {
+    await disconnectAfter(4, await startInstance());
     keeper.set(serve(2, ["v2"]));
     expect(await resumeAt(3)).toBe("withdrawn");
   });
 
   /**
-   * The instance has lost store and peers for longer than it may serve. The
-   * engine still has the answer, whose version may be withdrawn by now.
+   * The instance has lost contact with the store and its peers for longer than
+   * it may serve. The engine still has the answer, but its version may have
+   * been withdrawn since.
    */
-  it("nothing is given by an instance whose note does not hold", async () => {
-    await cutAfter(4, await startInstance());
+  it("refuses answers without a valid release note", async () => {
+    await disconnectAfter(4, await startInstance());
     keeper.fresh = async () => null;
     expect(await resumeAt(2)).toBe("no_release_note");
   });
 
-  /** The first engine was restarted, and the answer is gone with its memory. */
-  it("an answer that is gone gets a clear end at once", async () => {
-    await cutAfter(4, await startInstance());
+  /** The engine of the first stage restarted and lost the stored answer. */
+  it("reports an answer as lost after its engine restarted", async () => {
+    await disconnectAfter(4, await startInstance());
     group.kill("engine-1-1");
     await group.restart("engine-1-1");
     expect(await resumeAt(3)).toBe("answer_lost");
   });
 
-  /** A caller's program counts wrong. */
-  it("an event id ahead of the answer is refused", async () => {
-    await cutAfter(4, await startInstance());
+  /** The id names a token that the answer does not have yet. */
+  it("refuses an event id ahead of the answer", async () => {
+    await disconnectAfter(4, await startInstance());
     expect(await resumeAt(11)).toBe("bad_event_id");
   });
 });
 
 describe("running answer", () => {
   /**
-   * A mechanic closes the page in the middle of an answer. From then on no
-   * stage may spend time on it.
+   * A caller disconnects during an answer. All stages must stop working on it.
    */
-  it("no stage works for a caller that left", async () => {
-    await cutAfter(3, await startInstance());
-    const watching = await startInstance();
+  it("stops on all stages when the caller disconnects", async () => {
+    await disconnectAfter(3, await startInstance());
+    const observer = await startInstance();
     await until(() =>
-      watching.fleet.engines().every(({ state }) => state?.load === 0),
+      observer.fleet.engines().every(({ state }) => state?.load === 0),
     );
     const runs = group.journal.length;
     await new Promise((resolve) => setTimeout(resolve, 200));
@@ -247,8 +253,8 @@
 });
 
 describe("event id", () => {
-  /** What is sent as an id must be read back as the same place. */
-  it("event ids survive the way to the caller and back", () => {
+  /** A formatted id must be parsed back to the same position. */
+  it("is parsed back to what was formatted", () => {
     const name = fc.stringMatching(/^[a-zA-Z0-9][a-zA-Z0-9._-]{0,62}$/);
     const ids = fc.record({
       requestId: fc.uuid(),
--- a/packages/calls/src/answer_test.ts
+++ b/packages/calls/src/answer_test.ts
@@ -24,7 +24,7 @@
   [11, 12],
   [21, 22],
 ] as const;
-const QUICK = {
+const SHORT_TIMEOUTS = {
   startMs: 30,
   firstTokenMs: 20,
   shortestSilenceMs: 20,
@@ -70,8 +70,8 @@
   return { type: "cancelled", attempt, takenOver, reason: "test" };
 }
 
-/** Grants the first engine of each stage that is not avoided. */
-function createPickingRouter(
+/** Grants a preferred engine for each stage, else the first not avoided one. */
+function createFirstFitRouter(
   preferred: string[][],
   observeToken: () => void,
 ): AnswerDependencies["router"] {
@@ -79,7 +79,7 @@
     async acquire(need) {
       const { avoid, prefer, isRecovery } = need;
       preferred.push([...(prefer ?? [])]);
-      // Like the real router, it waits for a recovery's engines.
+      // Like the real router, waits for available engines of a recovery.
       while (
         isRecovery &&
         [11, 12].every((port) => avoid.has(`engine-${port}`))
@@ -88,18 +88,19 @@
       const stages = STAGE_PORTS.map((ports, index): Stage | undefined => {
         const free = ports.filter((port) => !avoid.has(`engine-${port}`));
         const port =
-          free.find((one) => prefer?.has(`engine-${one}`)) ?? free[0];
+          free.find((candidate) => prefer?.has(`engine-${candidate}`)) ??
+          free[0];
         if (port === undefined) return undefined;
         const address = scriptedAddress(port);
         const layers = { from: index * 4, to: index * 4 + 4 };
         return { engine: `engine-${port}`, address, layers };
       });
-      const whole = stages.filter((stage) => stage !== undefined);
-      if (whole.length < STAGE_PORTS.length) {
+      const assignedStages = stages.filter((stage) => stage !== undefined);
+      if (assignedStages.length < STAGE_PORTS.length) {
         const code = "no_capacity";
         return { kind: "refused", code, retryAfterSeconds: 2 };
       }
-      const grant = { stages: whole, observeToken, release() {} };
+      const grant = { stages: assignedStages, observeToken, release() {} };
       return { kind: "granted", grant };
     },
     covers: () => true,
@@ -107,7 +108,7 @@
   };
 }
 
-function createStillFleet(engines: ScriptedEngines): EngineFleet {
+function createStaticFleet(engines: ScriptedEngines): EngineFleet {
   return {
     engines: () =>
       STAGE_PORTS.flat().map((port) => ({
@@ -136,7 +137,7 @@
     readonly maxTokens?: number;
     readonly prepare?: (engines: ScriptedEngines) => void;
     readonly keeper?: AnswerDependencies["keeper"];
-    /** Called with each event before the next one is asked for. */
+    /** Called with each event before the next one is read. */
     readonly onEvent?: (event: AnswerEvent) => void;
   } = {},
 ) {
@@ -147,13 +148,13 @@
   let observed = 0;
   const answer = runAnswer(request(options.maxTokens), {
     keeper: options.keeper ?? createFixedNote(note(1, ["v1"])),
-    router: createPickingRouter(preferred, () => {
+    router: createFirstFitRouter(preferred, () => {
       observed += 1;
     }),
-    fleet: createStillFleet(engines),
+    fleet: createStaticFleet(engines),
     engines,
     recoveries: createRecoveryLimiter(),
-    liveness: QUICK,
+    liveness: SHORT_TIMEOUTS,
     signal: new AbortController().signal,
   });
   for await (const event of answer) {
@@ -179,7 +180,7 @@
   refused: true,
 });
 const broken = (): AttemptStart => ({ kind: "broken", detail: "reset" });
-const whole: AttemptScript = ({ attempt, deliveredTokens }) =>
+const completeAttempt: AttemptScript = ({ attempt, deliveredTokens }) =>
   giveEvents(
     [0, 1, 2]
       .slice(deliveredTokens.length)
@@ -188,28 +189,28 @@
 
 describe("answer", () => {
   /**
-   * Under load, tokens come more slowly than the objective allows, yet the
-   * router goes on admitting: each token was told to it twice, the second time
-   * with no gap since the first, so that it saw half the true mean gap.
+   * The router admits by the mean gap between tokens. If a repeated token were
+   * reported twice, it would see half the true gap and keep admitting requests
+   * under overload.
    */
-  it("the router hears of each token once", async () => {
+  it("reports each token to the router once", async () => {
     const repeated: AttemptScript = ({ attempt }) =>
       giveEvents([0, 0, 1, 1, 2].map((at) => token(attempt, at, at === 2)));
     expect(await run([repeated])).toMatchObject({ end: "done", observed: 3 });
   });
 
   /**
-   * A mechanic is told "not run", asks again elsewhere, and a first engine has
-   * been at work on the question all along. `not_run` may be said only when
-   * every engine that was asked refused it, or never got a byte of it.
+   * A caller that gets `not_run` may retry elsewhere. If an engine were running
+   * the request, it would run twice. `not_run` may be reported only if every
+   * engine refused the request or received no byte of it.
    */
-  describe("not_run is said only when nothing can have run", () => {
+  describe("outcome when no engine completes it", () => {
     const frozen: AttemptScript = (_attempt, signal) =>
       new Promise((resolve) => {
         signal.addEventListener("abort", () => resolve(broken()));
       });
     const rows: [string, AttemptScript[], string][] = [
-      ["both refuse", [refused, refused], "not_run/no_capacity"],
+      ["both engines refuse", [refused, refused], "not_run/no_capacity"],
       ["no connection", [notSent, notSent], "not_run/no_capacity"],
       [
         "refused, then no connection",
@@ -222,11 +223,11 @@
     });
 
     const started: [string, AttemptScript][] = [
-      ["reset after the request went out", broken],
-      ["frozen at the start", frozen],
-      ["stream breaks at once", () => giveEvents([])],
+      ["connection reset after the request was sent", broken],
+      ["engine frozen at the start", frozen],
+      ["stream broken before the first token", () => giveEvents([])],
     ];
-    it.each(started)("%s: failed, not not_run", async (_name, first) => {
+    it.each(started)("%s: failed instead of not_run", async (_name, first) => {
       const later = Array.from({ length: 9 }, () => broken);
       const { end } = await run([first, ...later]);
       expect(end).toBe("failed/attempts_used_up");
@@ -234,19 +235,22 @@
   });
 
   /**
-   * A stage dies, or says something strange, in the middle of an answer. The
-   * mechanic must see three tokens, each once, in order, and then the end;
-   * each row is one way in which that went wrong or could.
+   * A stage fails or sends unexpected events during an answer. The caller must
+   * get three tokens, each once and in order, and then the end. Each row is one
+   * kind of fault.
    */
-  describe("a caller gets the whole answer, once", () => {
+  describe("delivers every token once, in order, when", () => {
     const rows: [string, AttemptScript[], number][] = [
       [
         "a later stage is lost",
-        [() => giveEvents([token(1, 0), lost(1, 1, "unreachable")]), whole],
+        [
+          () => giveEvents([token(1, 0), lost(1, 1, "unreachable")]),
+          completeAttempt,
+        ],
         2,
       ],
       [
-        "tokens come twice and out of order",
+        "tokens arrive twice and out of order",
         [
           () =>
             giveEvents([
@@ -259,7 +263,7 @@
         1,
       ],
       [
-        "an older attempt speaks late",
+        "events of an older attempt arrive late",
         [
           () => giveEvents([token(1, 0), lost(1, 0, "unreachable")]),
           () =>
@@ -276,19 +280,23 @@
         "the stream breaks after the last token, before `done`",
         [
           () => giveEvents([token(1, 0), token(1, 1), token(1, 2, true)]),
-          whole,
+          completeAttempt,
         ],
         1,
       ],
       [
-        "a token is lost and the stream goes silent",
+        "a token is lost and the stream stalls",
         [
           () => giveEvents([token(1, 0), token(1, 2, true)], { hang: true }),
-          whole,
+          completeAttempt,
         ],
         2,
       ],
-      ["the stream breaks", [() => giveEvents([token(1, 0)]), whole], 2],
+      [
+        "the stream breaks",
+        [() => giveEvents([token(1, 0)]), completeAttempt],
+        2,
+      ],
     ];
     it.each(rows)("%s", async (_name, scripts, attempts) => {
       const result = await run(scripts);
@@ -299,14 +307,13 @@
   });
 
   /**
-   * One of two stages dies. Built up again on both, the answer would hold up
-   * the bay floor for twice as long as it must; the survivor still has its KV
-   * cache, so the next attempt counts on it and on nothing else.
+   * One of two stages is lost. Recomputing both would double the interruption;
+   * the remaining engine still has its KV cache, which the next attempt reuses.
    */
-  it("only the lost stage is replaced, and survivors keep their cache", async () => {
+  it("replaces only the lost stage and reuses the other caches", async () => {
     const { attempts, preferred } = await run([
       () => giveEvents([token(1, 0), lost(1, 0, "unreachable")]),
-      whole,
+      completeAttempt,
     ]);
     expect(preferred[1]).toEqual(["engine-21"]);
     const stages = attempts[1]?.stages;
@@ -318,24 +325,24 @@
   });
 
   /**
-   * The engine of the first stage dies and its stream breaks. Asked again at
-   * once, it would cost the answer one attempt after the other.
+   * The engine of the first stage fails and its stream breaks. If it weren't
+   * avoided, the answer would spend one attempt after another on it.
    */
-  it("an engine whose stream broke is not asked again", async () => {
+  it("avoids an engine whose stream broke", async () => {
     const first: AttemptScript = () => giveEvents([token(1, 0)]);
-    const { attempts } = await run([first, whole]);
+    const { attempts } = await run([first, completeAttempt]);
     expect(attempts[1]?.stages[0]?.engine).toBe("engine-12");
   });
 
   /**
-   * A stage is restarted at the same address. It answers every probe, but its
-   * memory is empty: the answer would wait for a token that nobody computes.
-   * The incarnation in its state tells the two apart.
+   * A stage restarts at the same address. It responds to probes but has lost
+   * the attempt, so its next token would never arrive. The incarnation in its
+   * state shows the restart.
    */
-  it("a stage that was restarted is lost, though it answers", async () => {
+  it("treats a restarted stage as lost although it responds", async () => {
     const scripts: AttemptScript[] = [
       () => giveEvents([token(1, 0)], { hang: true }),
-      whole,
+      completeAttempt,
     ];
     let reads = 0;
     const { attempts, end } = await run(scripts, {
@@ -354,25 +361,25 @@
   });
 
   /**
-   * Both engines of the first stage fail an answer, and one is restarted. The
-   * router waits for engines that did not fail it, and there are none: the
-   * mechanic would wait until the deadline beside an idle engine.
+   * Both engines of the first stage fail an answer, and one restarts. If failed
+   * engines were avoided for good, the answer would wait until its deadline
+   * although an engine is idle.
    */
-  it("an engine that failed an answer may serve it again later", async () => {
-    const { end, attempts } = await run([broken, broken, whole]);
+  it("retries an engine that failed it earlier", async () => {
+    const { end, attempts } = await run([broken, broken, completeAttempt]);
     expect(end).toBe("done");
     expect(attempts[2]?.stages[0]?.engine).toBe("engine-11");
   });
 
   /**
-   * An engine answers, but has dropped the cache that an attempt counts on.
-   * It is healthy: given up, it would be one engine less in a bad moment.
+   * An engine has dropped the cache that an attempt expects. The engine is
+   * healthy; avoiding it would reduce capacity during a recovery.
    */
-  it("an engine without the cache is used again, from the start", async () => {
+  it("recomputes on an engine that has dropped the cache", async () => {
     const { attempts, end } = await run([
       () => giveEvents([token(1, 0), lost(1, 0, "unreachable")]),
       () => giveEvents([lost(2, 1, "no_cache")]),
-      whole,
+      completeAttempt,
     ]);
     expect(end).toBe("done");
     expect(attempts[2]?.stages[1]?.engine).toBe("engine-21");
@@ -380,28 +387,34 @@
   });
 
   /**
-   * A caller reconnects through another instance while this one still reads
-   * the old stream. Starting again here would end the other's attempt, which
-   * would start again in turn: the two would fight until both give up.
+   * A caller reconnects through another instance while this one still reads the
+   * old stream. A retry here would cancel the attempt of the other instance,
+   * which would retry in turn, until both run out of attempts.
    */
   it.each([
-    ["told on the stream", () => giveEvents([token(1, 0), cancelled(1, true)])],
     [
-      "told at the start",
+      "cancelled on the stream",
+      () => giveEvents([token(1, 0), cancelled(1, true)]),
+    ],
+    [
+      "refused at the start",
       (): AttemptStart => ({ kind: "refused", reason: "", takenOver: true }),
     ],
-  ])("an answer that was taken over is let go: %s", async (_name, script) => {
-    const { end, attempts } = await run([script, whole]);
-    expect(end).toBe("failed/taken_over");
-    expect(attempts).toHaveLength(1);
-  });
+  ])(
+    "ends without a retry when it was taken over: %s",
+    async (_name, script) => {
+      const { end, attempts } = await run([script, completeAttempt]);
+      expect(end).toBe("failed/taken_over");
+      expect(attempts).toHaveLength(1);
+    },
+  );
 
   /**
-   * A batch is recalled while an answer waits for its first token, or in the
-   * middle of it. The first is run again whole on an allowed version; the
-   * second is cut, as versions never mix.
+   * A version is recalled before the first token of an answer, or later.
+   * Before, the answer runs from the start on an allowed version; later it
+   * fails, since an answer never mixes versions.
    */
-  describe("a version is withdrawn", () => {
+  describe("version withdrawn", () => {
     it.each([
       [0, "done", ["v1", "v2"]],
       [1, "withdrawn/withdrawn", ["v1"]],
@@ -416,18 +429,19 @@
         }
         return { kind: "started", events: stream() };
       };
-      const result = await run([first, whole], { keeper });
+      const result = await run([first, completeAttempt], { keeper });
       expect(wasCut).toBe(true);
       expect(result.end).toBe(end);
       expect(result.attempts.map(({ version }) => version)).toEqual(versions);
     });
 
-    it("between two tokens that became ready together", async () => {
-      // A token waits for an earlier one, and the caller is slow to take that
-      // one: the version is withdrawn before the later one can be handed over.
+    it("delivers no second token of two released together", async () => {
+      // A token is buffered behind an earlier one. The version is withdrawn
+      // while a slow caller reads the earlier one, before the later one is
+      // delivered.
       const keeper = createFixedNote(note(1, ["v1"]));
       const early = () => giveEvents([token(1, 1), token(1, 0), token(1, 2)]);
-      const result = await run([early, whole], {
+      const result = await run([early, completeAttempt], {
         keeper,
         onEvent: (event) => {
           if (event.type === "token") keeper.set(note(2, ["v2"]));
@@ -439,22 +453,22 @@
   });
 
   /**
-   * Something breaks in our own code after an engine began. The caller must
-   * not be told that nothing ran.
+   * An internal error occurs after an engine has started. The outcome must not
+   * be `not_run`.
    */
-  it("a fault of our own after the start is no not_run", async () => {
+  it("reports an internal error after the start as failed", async () => {
     const keeper = createFixedNote(note(1, ["v1"]));
-    const broke = { ...keeper, fresh: () => keeper.fresh() };
+    const failingKeeper = { ...keeper, fresh: () => keeper.fresh() };
     const { end } = await run(
       [
         () => {
-          broke.fresh = () => {
-            throw new Error("a fault of our own");
+          failingKeeper.fresh = () => {
+            throw new Error("internal error");
           };
           return giveEvents([token(1, 0)]);
         },
       ],
-      { keeper: broke },
+      { keeper: failingKeeper },
     );
     expect(end).toBe("failed/internal_error");
   });
--- a/packages/calls/src/answer_token_order.ts
+++ b/packages/calls/src/answer_token_order.ts
@@ -1,24 +1,24 @@
-/** Puts the tokens of an answer in order, in bounded memory. */
+/** Reorders the tokens of an attempt in bounded memory. */
 import type { EngineEvent } from "@rosemarypin/schemas";
 
-/** Tokens that may wait for an earlier one. */
-const WAITING_AT_MOST = 64;
+/** Maximum number of tokens that are buffered behind a missing one. */
+const MAX_WAITING_TOKENS = 64;
 
 export type TokenEvent = Extract<EngineEvent, { type: "token" }>;
 
-/** What became of a token. */
+/** Result of offering a token. */
 export type OrderResult =
-  /** These come next, in order; none when the token is early or a repeat. */
+  /** Tokens to deliver, in order; none for an early or repeated token. */
   | { readonly kind: "next"; readonly tokens: readonly TokenEvent[] }
-  /** An earlier token is lost: too many wait for it. */
+  /** Too many tokens are buffered, so the missing one is assumed lost. */
   | { readonly kind: "overflow" };
 
-/** Takes tokens that come late, twice or out of order. */
+/** Accepts late, repeated and reordered tokens; releases each once in order. */
 export interface TokenOrder {
   offer(token: TokenEvent): OrderResult;
 }
 
-/** Creates the order of one attempt, whose first token is `firstIndex`. */
+/** Creates the order of an attempt whose first token has `firstIndex`. */
 export function createTokenOrder(firstIndex: number): TokenOrder {
   const waiting = new Map<number, TokenEvent>();
   let nextIndex = firstIndex;
@@ -41,7 +41,7 @@
         tokens.push(next);
         nextIndex += 1;
       }
-      if (waiting.size > WAITING_AT_MOST) return { kind: "overflow" };
+      if (waiting.size > MAX_WAITING_TOKENS) return { kind: "overflow" };
       return { kind: "next", tokens };
     },
   };
--- a/packages/calls/src/answer_token_order_test.ts
+++ b/packages/calls/src/answer_token_order_test.ts
@@ -8,11 +8,10 @@
 
 describe("token order", () => {
   /**
-   * A planner's draft reads "move ten to ten Mtwara": a token came twice after
-   * a network fault, another came late. Whatever the order in which tokens
-   * come, and however often, they leave in order, each once.
+   * A network fault repeats one token and delays another. For any order and
+   * number of repeats, the tokens must be released in order, each once.
    */
-  it("tokens leave in order, each once", () => {
+  it("releases tokens in order, each once", () => {
     const seed = Number(process.env.SEED ?? 20_261);
     console.log(`seed ${seed}`);
     const arrivals = fc.integer({ min: 1, max: 40 }).chain((count) =>
@@ -37,10 +36,10 @@
   });
 
   /**
-   * A token is lost and a fast engine goes on: the tokens that wait for it
-   * must not fill the instance's memory.
+   * A token is lost while a fast engine keeps sending: the tokens buffered
+   * behind the gap must not exhaust the instance's memory.
    */
-  it("a gap holds back a bounded number of tokens", () => {
+  it("buffers a bounded number of tokens behind a gap", () => {
     const tokens = createTokenOrder(0);
     const results = Array.from({ length: 100 }, (_, index) =>
       tokens.offer(token(index + 1)),
--- a/packages/calls/src/answer_version.ts
+++ b/packages/calls/src/answer_version.ts
@@ -1,8 +1,8 @@
-/** Chooses the version of an answer, and keeps to it. */
+/** Chooses the model version of an answer. */
 import { mayContinue, permitAnswer } from "@rosemarypin/release";
 import type { Router } from "@rosemarypin/routing";
 import type { AnswerRequest, NoteRecord } from "@rosemarypin/schemas";
-import { gaveUp } from "./answer_failure.ts";
+import { createGiveUpFailure } from "./answer_failure.ts";
 import type { Progress } from "./answer_progress.ts";
 import {
   badCall,
@@ -14,8 +14,9 @@
 const NO_NOTE_RETRY_SECONDS = 2;
 
 /**
- * Keeps to the version of the first attempt, so that no answer mixes
- * versions; a withdrawn one is left only while nothing was delivered.
+ * Sets the version in `progress`, or returns the failure. Later attempts keep
+ * the version of the first one, so that no answer mixes versions. A withdrawn
+ * version is replaced only if no token has been delivered.
  */
 export function chooseVersion(
   request: AnswerRequest,
@@ -28,7 +29,7 @@
   const { progress, record, router } = options;
   if (!record) {
     const code = "no_release_note";
-    if (progress.started) return gaveUp(code, progress);
+    if (progress.started) return createGiveUpFailure(code, progress);
     return notRun(code, {
       message: "this instance has no release note yet; try again",
       retryAfterSeconds: NO_NOTE_RETRY_SECONDS,
