--- a/packages/calls/src/answer.ts
+++ b/packages/calls/src/answer.ts
@@ -90,37 +90,40 @@
   const { progress } = options;
   const pace = createTokenPace(options.liveness ?? defaultLiveness);
   const links = options.links ?? createLinkSpeeds();
-  let move: Migration | null = null;
+  let migration: Migration | null = null;
   try {
     while (!options.signal.aborted) {
       const record = await options.keeper.fresh();
       const failure = chooseVersion(request, { ...options, record });
       if (failure) return yield { type: "failed", failure };
-      if (progress.fruitless >= MAX_ATTEMPTS_WITHOUT_TOKEN) {
+      if (progress.attemptsSinceToken >= MAX_ATTEMPTS_WITHOUT_TOKEN) {
         const exhausted = createGiveUpFailure("attempts_used_up", progress);
         return yield { type: "failed", failure: exhausted };
       }
-      const turn: NextAttemptOptions = {
+      const attemptOptions: NextAttemptOptions = {
         ...options,
         progress,
         pace,
         links,
-        move,
+        migration,
       };
-      move = null;
-      const end: NextAttemptEnd = yield* runNextAttempt(request, turn);
+      migration = null;
+      const end: NextAttemptEnd = yield* runNextAttempt(
+        request,
+        attemptOptions,
+      );
       const finalEvent = toFinalEvent(end, progress);
       if (finalEvent) return yield finalEvent;
-      if (end.kind === "moved") move = end.move;
+      if (end.kind === "migrated") migration = end.migration;
       log.info("attempt_ended", {
         request: request.requestId,
-        attempt: progress.attempt,
-        delivered: progress.delivered.length,
+        attempt: progress.attemptNumber,
+        delivered: progress.deliveredTokens.length,
         reason: describeEnd(end),
       });
     }
   } finally {
-    if (move) releaseMigration(move);
+    if (migration) releaseMigration(migration);
   }
 }
 
@@ -144,7 +147,8 @@
 }
 
 function describeEnd(end: NextAttemptEnd): string {
-  if (end.kind === "moved") return `moved off ${end.move.from.join(",")}`;
+  if (end.kind === "migrated")
+    return `migrated off ${end.migration.sources.join(",")}`;
   return end.kind === "retry" ? end.reason : end.kind;
 }
 
@@ -153,7 +157,7 @@
   readonly pace: TokenPace;
   readonly links: LinkSpeeds;
   /** Engines acquired in advance for the next attempt. */
-  readonly move: Migration | null;
+  readonly migration: Migration | null;
 }
 
 interface Refused {
@@ -164,9 +168,9 @@
 type NextAttemptEnd = AttemptEnd | Refused;
 
 interface AcquiredEngines {
-  readonly kind: "turn";
+  readonly kind: "acquired";
   readonly grant: Grant;
-  readonly endTurn: (() => void) | null;
+  readonly releaseSlot: (() => void) | null;
 }
 
 /**
@@ -177,25 +181,25 @@
   request: AnswerRequest,
   options: NextAttemptOptions,
 ): AsyncGenerator<AnswerEvent, NextAttemptEnd> {
-  const { progress, signal, metrics, move } = options;
-  const isLossRecovery = progress.started && !move;
-  const turn: AcquiredEngines | Refused = move
-    ? { kind: "turn", ...move }
+  const { progress, signal, metrics, migration } = options;
+  const isLossRecovery = progress.mayHaveRun && !migration;
+  const acquired: AcquiredEngines | Refused = migration
+    ? { kind: "acquired", ...migration }
     : await acquireEnginesAndSlot(request, options);
-  if (turn.kind === "refused") return turn;
-  const { grant, endTurn } = turn;
+  if (acquired.kind === "refused") return acquired;
+  const { grant, releaseSlot } = acquired;
   try {
-    if (signal.aborted) return { kind: "retry", reason: "the caller left" };
+    if (signal.aborted) return { kind: "retry", reason: "caller disconnected" };
     const liveness = options.liveness ?? defaultLiveness;
     const moves = options.moves ?? defaultMoveLimits;
-    const onProgress = () => {
-      endTurn?.();
+    const onFirstToken = () => {
+      releaseSlot?.();
       if (isLossRecovery) metrics?.recoveries.inc({ model: request.model });
     };
-    const attempt = { ...options, grant, liveness, moves, onProgress };
+    const attempt = { ...options, grant, liveness, moves, onFirstToken };
     return yield* runAttempt(request, attempt);
   } finally {
-    endTurn?.();
+    releaseSlot?.();
     grant.release();
   }
 }
@@ -205,14 +209,14 @@
   options: NextAttemptOptions,
 ): Promise<AcquiredEngines | Refused> {
   const { progress, recoveries, signal } = options;
-  const isRecovery = progress.started;
+  const isRecovery = progress.mayHaveRun;
   const granted = await acquireEngines(request, progress, options);
   if (granted.kind === "refused") return granted;
   const { grant } = granted;
   // The slot is acquired after the engines: an answer that waits for layers
   // that no engine serves must not block answers that can continue.
-  const endTurn = isRecovery
-    ? await recoveries.takeTurn(request.priority, signal)
+  const releaseSlot = isRecovery
+    ? await recoveries.acquireSlot(request.priority, signal)
     : null;
-  return { kind: "turn", grant, endTurn };
+  return { kind: "acquired", grant, releaseSlot };
 }
--- a/packages/calls/src/answer_attempt.ts
+++ b/packages/calls/src/answer_attempt.ts
@@ -25,8 +25,8 @@
 ): AsyncGenerator<AnswerEvent, AttemptEnd> {
   const { progress, keeper, fleet } = options;
   const { stages } = options.grant;
-  progress.attempt += 1;
-  progress.fruitless += 1;
+  progress.attemptNumber += 1;
+  progress.attemptsSinceToken += 1;
   const incarnations = readIncarnations(fleet);
   const withoutImports = buildAttemptRequest(request, {
     progress,
@@ -34,31 +34,42 @@
     incarnations,
   });
   const attempt = addCacheImports(withoutImports, options);
-  const deliveredBefore = progress.delivered.length;
+  const deliveredBefore = progress.deliveredTokens.length;
   const attemptAbort = new AbortController();
   const signal = AbortSignal.any([options.signal, attemptAbort.signal]);
   const unsubscribe = keeper.onChange((record) => {
     if (!mayContinue(record, attempt)) attemptAbort.abort();
   });
-  const lost = new Map<string, LostCause>();
-  const mover = createMigrator({ ...options, request, attempt });
+  const lostStages = new Map<string, LostCause>();
+  const migrator = createMigrator({ ...options, request, attempt });
   const startedAt = performance.now();
-  const state = { attempt, incarnations, signal, lost, mover, startedAt };
+  const state = {
+    attempt,
+    incarnations,
+    signal,
+    lostStages,
+    migrator,
+    startedAt,
+  };
   const running = { ...options, ...state };
   try {
     if (!(await isVersionAllowed(attempt, keeper))) {
-      return { kind: "retry", reason: "withdrawn while it waited" };
+      return { kind: "retry", reason: "version withdrawn before the start" };
     }
     const start = await startWithTimeout(running);
     if (start.kind !== "started") return handleFailedStart(start, running);
-    progress.started = true;
+    progress.mayHaveRun = true;
     return yield* streamAttempt(start.events, running);
   } finally {
     unsubscribe();
     attemptAbort.abort();
-    mover.stop();
-    const gaveToken = progress.delivered.length > deliveredBefore;
-    updateCaches(progress, { attempt, gaveToken, incarnations });
+    migrator.stop();
+    const hasNewToken = progress.deliveredTokens.length > deliveredBefore;
+    updateCaches(progress, {
+      attempt,
+      hasNewToken,
+      incarnations,
+    });
     reportLostStages(running);
   }
 }
@@ -90,28 +101,32 @@
   start: Exclude<AttemptStart, { kind: "started" }>,
   running: RunningAttempt,
 ): AttemptEnd {
-  const { progress, attempt, signal, lost } = running;
+  const { progress, attempt, signal, lostStages } = running;
   const [first] = attempt.stages;
   const engine = first?.engine ?? "";
   if (start.kind === "refused") {
     if (start.takenOver) return { kind: "taken_over" };
-    progress.avoid.add(engine);
+    progress.avoidedEngines.add(engine);
     // The engine may have changed state since the fleet last read it. Until the
     // fleet has the new state, other answers would be sent there and refused.
     if (first) void refreshEngineState(first, running);
     return { kind: "retry", reason: start.reason };
   }
-  if (start.kind === "broken") progress.started = true;
-  if (!signal.aborted) lost.set(engine, "unreachable");
+  if (start.kind === "broken") progress.mayHaveRun = true;
+  if (!signal.aborted) lostStages.set(engine, "unreachable");
   return { kind: "retry", reason: start.detail };
 }
 
-function reportLostStages({ lost, progress, fleet }: RunningAttempt): void {
-  if (lost.size > 0) progress.lostAt ??= performance.now();
-  for (const [engine, cause] of lost) {
-    progress.kept.delete(engine);
+function reportLostStages({
+  lostStages,
+  progress,
+  fleet,
+}: RunningAttempt): void {
+  if (lostStages.size > 0) progress.stageLostAt ??= performance.now();
+  for (const [engine, cause] of lostStages) {
+    progress.caches.delete(engine);
     if (cause === "no_cache") continue;
-    progress.avoid.add(engine);
+    progress.avoidedEngines.add(engine);
     fleet.reportLost(engine);
   }
 }
--- a/packages/calls/src/answer_attempt_events.ts
+++ b/packages/calls/src/answer_attempt_events.ts
@@ -18,23 +18,23 @@
   events: AsyncIterable<EngineEvent>,
   options: RunningAttempt,
 ): AsyncGenerator<AnswerEvent, AttemptEnd> {
-  const { progress, attempt, pace, lost } = options;
+  const { progress, attempt, pace, lostStages } = options;
   const reader = createEventReader(events);
-  const order = createTokenOrder(progress.delivered.length);
+  const order = createTokenOrder(progress.deliveredTokens.length);
   const firstEngine = attempt.stages[0]?.engine ?? "";
   let silentMs = 0;
   let waitingSince = performance.now();
   while (true) {
-    const next = await reader.next(pace.silenceMs());
+    const next = await reader.next(pace.silenceThresholdMs());
     if (!(await mayDeliver(options))) return CANCELLED;
-    if (next.kind === "silent") {
+    if (next.kind === "timeout") {
       silentMs = performance.now() - waitingSince;
       const end = await checkStall(silentMs, { ...options, reader });
       if (end) return end;
       continue;
     }
     if (next.kind === "ended") {
-      lost.set(firstEngine, "unreachable");
+      lostStages.set(firstEngine, "unreachable");
       return { kind: "retry", reason: "the stream broke" };
     }
     const { event } = next;
@@ -58,8 +58,8 @@
           waitingSince = performance.now();
           if (token.ends) return { kind: "done", reason: token.ends };
         }
-        const move = options.mover.ready();
-        if (move) return { kind: "moved", move };
+        const migration = options.migrator.takeMigration();
+        if (migration) return { kind: "migrated", migration };
         break;
       }
       case "imported":
@@ -67,7 +67,7 @@
         break;
       case "stage_lost": {
         const stage = attempt.stages[event.stage];
-        if (stage) lost.set(stage.engine, event.cause);
+        if (stage) lostStages.set(stage.engine, event.cause);
         if (stage && event.cause === "no_cache") {
           const elapsedMs = performance.now() - options.startedAt;
           recordMissingCache(stage, { ...options, elapsedMs });
@@ -94,17 +94,17 @@
 }
 
 function recordToken(token: TokenEvent, options: RunningAttempt): void {
-  const { progress, metrics, onProgress, attempt } = options;
-  progress.delivered.push(token.text);
+  const { progress, metrics, onFirstToken, attempt } = options;
+  progress.deliveredTokens.push(token.text);
   progress.digest = token.digest;
   options.grant.observeToken();
-  if (progress.fruitless === 0) return;
-  progress.fruitless = 0;
-  onProgress();
-  if (progress.lostAt === null) return;
-  const seconds = (performance.now() - progress.lostAt) / 1_000;
+  if (progress.attemptsSinceToken === 0) return;
+  progress.attemptsSinceToken = 0;
+  onFirstToken();
+  if (progress.stageLostAt === null) return;
+  const seconds = (performance.now() - progress.stageLostAt) / 1_000;
   metrics?.recoverySeconds.observe({ model: attempt.model }, seconds);
-  progress.lostAt = null;
+  progress.stageLostAt = null;
 }
 
 /** Reads an engine's state into the fleet, such as a restart or a drain. */
--- a/packages/calls/src/answer_attempt_state.ts
+++ b/packages/calls/src/answer_attempt_state.ts
@@ -15,7 +15,7 @@
   | { readonly kind: "done"; readonly reason: "stop" | "length" }
   | { readonly kind: "retry"; readonly reason: string }
   /** Other engines have been acquired; the next attempt runs on them. */
-  | { readonly kind: "moved"; readonly move: Migration }
+  | { readonly kind: "migrated"; readonly migration: Migration }
   /** Another connection, here or on another instance, runs the answer. */
   | { readonly kind: "taken_over" };
 
@@ -35,16 +35,16 @@
   readonly grant: Grant;
   readonly signal: AbortSignal;
   /** Called when the attempt delivers its first new token. */
-  readonly onProgress: () => void;
+  readonly onFirstToken: () => void;
 }
 
 /** An attempt that is starting or running. */
 export interface RunningAttempt extends AttemptOptions {
   readonly attempt: AttemptRequest;
   /** Cause of loss of each stage found lost, by engine. */
-  readonly lost: Map<string, LostCause>;
+  readonly lostStages: Map<string, LostCause>;
   readonly incarnations: ReadonlyMap<string, number>;
-  readonly mover: Migrator;
+  readonly migrator: Migrator;
   readonly startedAt: number;
 }
 
--- a/packages/calls/src/answer_cache_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -25,18 +25,25 @@
   { progress, fleet, links }: ImportContext,
 ): AttemptRequest {
   const { stages } = attempt;
-  const kept = new Set(
+  const enginesWithCache = new Set(
     stages.flatMap(({ engine, keptPositions }) =>
       keptPositions === undefined ? [] : [engine],
     ),
   );
   // Common case, without a read of the fleet: nothing to import.
-  if (kept.size === stages.length || progress.kept.size === 0) return attempt;
+  if (enginesWithCache.size === stages.length || progress.caches.size === 0)
+    return attempt;
   const engines = enginesById(fleet);
   const holders = findHolders(progress, { stages, engines });
   if (holders.length === 0) return attempt;
   const positions = countPositions(attempt);
-  const importOptions = { kept, holders, engines, positions, links };
+  const importOptions = {
+    enginesWithCache,
+    holders,
+    engines,
+    positions,
+    links,
+  };
   const sources = chooseImports(stages, importOptions);
   if (sources.size === 0) return attempt;
   return {
@@ -58,7 +65,7 @@
   },
 ): CacheHolder[] {
   const names = new Set(options.stages.map(({ engine }) => engine));
-  return [...progress.kept].flatMap(([name, { layers, incarnation }]) => {
+  return [...progress.caches].flatMap(([name, { layers, incarnation }]) => {
     const engine = options.engines.get(name);
     if (!engine || names.has(name)) return [];
     // A restart has emptied the engine's memory.
@@ -115,7 +122,7 @@
   const { progress, attempt, elapsedMs } = options;
   const source = stage.importFrom;
   if (!source) return;
-  progress.kept.delete(source.engine);
+  progress.caches.delete(source.engine);
   log.info("cache_import_failed", {
     request: attempt.requestId,
     attempt: attempt.attempt,
--- a/packages/calls/src/answer_cache_import_plan.ts
+++ b/packages/calls/src/answer_cache_import_plan.ts
@@ -23,7 +23,7 @@
 
 export interface ImportOptions {
   /** Engines of the stages that hold their KV cache already. */
-  readonly kept: ReadonlySet<string>;
+  readonly enginesWithCache: ReadonlySet<string>;
   readonly holders: readonly CacheHolder[];
   readonly engines: ReadonlyMap<string, KnownEngine>;
   /** Number of positions that the KV cache of each stage must cover. */
@@ -47,8 +47,12 @@
   options: ImportOptions,
 ): ReadonlyMap<string, CacheSource> {
   const plans = stages
-    .flatMap(({ engine }, index) => (options.kept.has(engine) ? [] : [index]))
-    .map((last) => createPlan(stages, { ...options, last }));
+    .flatMap(({ engine }, index) =>
+      options.enginesWithCache.has(engine) ? [] : [index],
+    )
+    .map((lastRecomputed) =>
+      createPlan(stages, { ...options, last: lastRecomputed }),
+    );
   const all = [createPlan(stages, { ...options, last: -1 }), ...plans];
   const [cheapest] = all
     .filter((plan) => plan !== null)
@@ -64,13 +68,13 @@
   stages: readonly Stage[],
   options: ImportOptions & { readonly last: number },
 ): ImportPlan | null {
-  const { kept, positions, last } = options;
+  const { enginesWithCache, positions, last } = options;
   const recomputed = stages.slice(0, last + 1);
   let costMs = recomputeMs(recomputed, options);
   const sources = new Map<string, CacheSource>();
   if (positions <= 0) return last < 0 ? { costMs, sources } : null;
   for (const [index, stage] of stages.entries()) {
-    if (index <= last || kept.has(stage.engine)) continue;
+    if (index <= last || enginesWithCache.has(stage.engine)) continue;
     const holder = findHolder(stage, options);
     if (!holder) return null;
     costMs += importMs(stage, { ...options, holder });
@@ -82,9 +86,12 @@
   return { costMs, sources };
 }
 
-function createCacheSource(holder: CacheHolder, limitMs: number): CacheSource {
+function createCacheSource(
+  holder: CacheHolder,
+  timeoutMs: number,
+): CacheSource {
   const { settings, state } = holder.engine;
-  const boundedMs = Math.min(MAX_TRANSFER_TIMEOUT_MS, limitMs);
+  const boundedMs = Math.min(MAX_TRANSFER_TIMEOUT_MS, timeoutMs);
   return {
     engine: settings.id,
     address: settings.address,
--- a/packages/calls/src/answer_cache_import_plan_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -60,7 +60,7 @@
   }));
   const kept = stages.filter((_, index) => !missing.includes(index));
   const sources = chooseImports(stages, {
-    kept: new Set(kept.map((stage) => stage.engine)),
+    enginesWithCache: new Set(kept.map((stage) => stage.engine)),
     holders: holders.map((layers, index) => ({
       engine: engine(`old-${index}`),
       layers,
--- a/packages/calls/src/answer_engine_acquisition.ts
+++ b/packages/calls/src/answer_engine_acquisition.ts
@@ -30,15 +30,22 @@
   },
 ): Promise<EngineAcquisition> {
   const { router, signal } = options;
-  const { version, avoid, started: isRecovery } = progress;
+  const { version, avoidedEngines, mayHaveRun: isRecovery } = progress;
   if (!version) throw new Error("a version is chosen before a pipeline");
-  const prefer = new Set(progress.kept.keys());
-  const requirements = { request, version, avoid, prefer, isRecovery, signal };
+  const prefer = new Set(progress.caches.keys());
+  const requirements = {
+    request,
+    version,
+    avoid: avoidedEngines,
+    prefer,
+    isRecovery,
+    signal,
+  };
   if (!isRecovery) {
     const result = await router.acquire(requirements);
     if (result.kind === "granted") return result;
     const { code, retryAfterSeconds } = result;
-    const message = "no engines are free for this request; ask again later";
+    const message = "no engines are available for this request; retry later";
     const failure = notRun(code, { message, retryAfterSeconds });
     return { kind: "refused", failure };
   }
@@ -52,7 +59,10 @@
   };
   // An engine that failed this answer may have restarted since and be the only
   // one with its layers. The router reads the set on each selection.
-  const timer = setInterval(() => avoid.clear(), AVOID_RESET_INTERVAL_MS);
+  const timer = setInterval(
+    () => avoidedEngines.clear(),
+    AVOID_RESET_INTERVAL_MS,
+  );
   try {
     while (true) {
       const result = await router.acquire(recoveryRequirements);
@@ -72,6 +82,6 @@
   readonly retryAfterSeconds: number;
 }): CallFailure {
   const { code, retryAfterSeconds } = refusal;
-  const message = "the answer lost its engines and found no others";
+  const message = "the answer lost its engines and no others are available";
   return failedRun(code, { message, retryAfterSeconds });
 }
--- a/packages/calls/src/answer_failure.ts
+++ b/packages/calls/src/answer_failure.ts
@@ -12,20 +12,22 @@
   code: string,
   progress: Progress,
 ): CallFailure {
-  const message = `no attempt of ${progress.attempt} could finish; ask again`;
+  const message = `none of ${progress.attemptNumber} attempts completed; retry the request`;
   const msSinceLoss =
-    progress.lostAt === null ? 0 : performance.now() - progress.lostAt;
+    progress.stageLostAt === null
+      ? 0
+      : performance.now() - progress.stageLostAt;
   const retryAfterSeconds = Math.max(
     MIN_RETRY_AFTER_SECONDS,
     Math.ceil(msSinceLoss / 1_000),
   );
   const options = { message, retryAfterSeconds };
-  return progress.started ? failedRun(code, options) : notRun(code, options);
+  return progress.mayHaveRun ? failedRun(code, options) : notRun(code, options);
 }
 
 /** Failure of a connection whose answer another connection has resumed. */
 export function createTakenOverFailure(): CallFailure {
   return failedRun("taken_over", {
-    message: "another connection of yours goes on with this answer",
+    message: "the answer was resumed on another connection",
   });
 }
--- a/packages/calls/src/answer_link_speeds.ts
+++ b/packages/calls/src/answer_link_speeds.ts
@@ -56,11 +56,11 @@
 ): LinkSpeeds {
   const { forgetMs = MEASUREMENT_EXPIRY_MS } = options;
   const engines = createTransferAverages({
-    atMost: MAX_ENGINE_PAIRS,
+    maxPairs: MAX_ENGINE_PAIRS,
     forgetMs,
   });
   const domains = createTransferAverages({
-    atMost: MAX_DOMAIN_PAIRS,
+    maxPairs: MAX_DOMAIN_PAIRS,
     forgetMs,
   });
   return {
@@ -88,15 +88,17 @@
 
 /** Averages transfers by key and evicts the least recently observed key. */
 function createTransferAverages(options: {
-  readonly atMost: number;
+  readonly maxPairs: number;
   readonly forgetMs: number;
 }) {
-  const { atMost, forgetMs } = options;
-  const sums = new Map<string, Transfer & { readonly at: number }>();
+  const { maxPairs, forgetMs } = options;
+  const sums = new Map<string, Transfer & { readonly observedAt: number }>();
 
   function readUnexpired(key: string): Transfer | undefined {
     const sum = sums.get(key);
-    return sum && performance.now() - sum.at < forgetMs ? sum : undefined;
+    return sum && performance.now() - sum.observedAt < forgetMs
+      ? sum
+      : undefined;
   }
 
   return {
@@ -106,10 +108,10 @@
       sums.set(key, {
         bytes: previous.bytes * DECAY + next.bytes,
         durationMs: previous.durationMs * DECAY + next.durationMs,
-        at: performance.now(),
+        observedAt: performance.now(),
       });
       const [oldest] = sums.keys();
-      if (sums.size > atMost && oldest !== undefined) sums.delete(oldest);
+      if (sums.size > maxPairs && oldest !== undefined) sums.delete(oldest);
     },
     read(key: string): number | undefined {
       const sum = readUnexpired(key);
--- a/packages/calls/src/answer_liveness.ts
+++ b/packages/calls/src/answer_liveness.ts
@@ -37,9 +37,9 @@
 export interface TokenPace {
   observe(gapMs: number): void;
   /** The average gap; `null` before the first token. */
-  gapMs(): number | null;
+  averageGapMs(): number | null;
   /** Silence after which the stages are probed. */
-  silenceMs(): number;
+  silenceThresholdMs(): number;
 }
 
 /** Creates the pace of an answer without tokens. */
@@ -52,13 +52,13 @@
           ? gapMs
           : averageMs + GAP_SMOOTHING_FACTOR * (gapMs - averageMs);
     },
-    gapMs: () => averageMs,
-    silenceMs() {
+    averageGapMs: () => averageMs,
+    silenceThresholdMs() {
       if (averageMs === null) return limits.firstTokenMs;
-      const silence = averageMs * SILENCE_GAP_FACTOR;
+      const silenceMs = averageMs * SILENCE_GAP_FACTOR;
       return Math.min(
         limits.longestSilenceMs,
-        Math.max(limits.shortestSilenceMs, silence),
+        Math.max(limits.shortestSilenceMs, silenceMs),
       );
     },
   };
@@ -68,13 +68,13 @@
 export type NextEvent =
   | { readonly kind: "event"; readonly event: EngineEvent }
   | { readonly kind: "ended" }
-  | { readonly kind: "silent" };
+  | { readonly kind: "timeout" };
 
 /** Reads a stream with a timeout. No event is lost by a timeout. */
 export interface EventReader {
-  next(silenceMs: number): Promise<NextEvent>;
+  next(timeoutMs: number): Promise<NextEvent>;
   /** Whether an event, or the end, has arrived and not been read yet. */
-  hasEvent(): boolean;
+  hasPendingEvent(): boolean;
 }
 
 /** Creates the reader of one attempt's stream. */
@@ -102,16 +102,16 @@
   }
 
   return {
-    hasEvent: () => hasArrived && pending !== null,
-    next(silenceMs) {
+    hasPendingEvent: () => hasArrived && pending !== null,
+    next(timeoutMs) {
       pending ??= read();
       const pendingRead = pending;
       return new Promise((resolve) => {
         let isWaiting = true;
         const timer = setTimeout(() => {
           isWaiting = false;
-          resolve({ kind: "silent" });
-        }, silenceMs);
+          resolve({ kind: "timeout" });
+        }, timeoutMs);
         void pendingRead.then((next) => {
           // After a timeout the event is kept for the next call. Otherwise a
           // token that arrives while stages are probed would be lost.
--- a/packages/calls/src/answer_liveness_test.ts
+++ b/packages/calls/src/answer_liveness_test.ts
@@ -53,11 +53,11 @@
    */
   it("adapts the silence threshold within its bounds", () => {
     const pace = createTokenPace(defaultLiveness);
-    const first = pace.silenceMs();
+    const first = pace.silenceThresholdMs();
     pace.observe(30);
-    const fast = pace.silenceMs();
+    const fast = pace.silenceThresholdMs();
     for (let count = 0; count < 50; count++) pace.observe(2_000);
-    expect([first, fast, pace.silenceMs()]).toEqual([500, 150, 1_000]);
+    expect([first, fast, pace.silenceThresholdMs()]).toEqual([500, 150, 1_000]);
   });
 });
 
@@ -71,13 +71,13 @@
       });
     }
     const reader = createEventReader(stream());
-    expect(await reader.next(1)).toEqual({ kind: "silent" });
+    expect(await reader.next(1)).toEqual({ kind: "timeout" });
     const event = { type: "started", attempt: 1 } as const;
     sendEvent(event);
     await new Promise((resolve) => setTimeout(resolve, 1));
-    expect(reader.hasEvent()).toBe(true);
+    expect(reader.hasPendingEvent()).toBe(true);
     expect(await reader.next(1_000)).toEqual({ kind: "event", event });
-    expect(reader.hasEvent()).toBe(false);
+    expect(reader.hasPendingEvent()).toBe(false);
   });
 
   /**
--- a/packages/calls/src/answer_migration.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -38,9 +38,9 @@
 export interface Migration {
   readonly grant: Grant;
   /** Releases the slot of the recovery limiter. */
-  readonly endTurn: () => void;
+  readonly releaseSlot: () => void;
   /** The engines that the answer migrates off. */
-  readonly from: readonly string[];
+  readonly sources: readonly string[];
 }
 
 /** Prepares the migration of one attempt. */
@@ -49,7 +49,7 @@
    * Called after tokens. Checks the engines at intervals, and returns the
    * migration once other engines are acquired. The receiver must release it.
    */
-  ready(): Migration | null;
+  takeMigration(): Migration | null;
   /** Cancels a migration in preparation and releases its engines. */
   stop(): void;
 }
@@ -78,46 +78,47 @@
   const { signal } = stopped;
   let lastCheckAt = performance.now();
   let isPreparing = false;
-  let move: Migration | null = null;
+  let readyMigration: Migration | null = null;
 
-  function ready(): Migration | null {
-    if (move) {
-      const taken = move;
-      move = null;
-      return taken;
+  function takeMigration(): Migration | null {
+    if (readyMigration) {
+      const migration = readyMigration;
+      readyMigration = null;
+      return migration;
     }
     const now = performance.now();
     if (isPreparing || now - lastCheckAt < moves.lookMs) return null;
     lastCheckAt = now;
-    const migrationSources = findMigrationSources(fleet.engines(), {
+    const plan = findMigrationSources(fleet.engines(), {
       ...attempt,
       ...estimateRemaining(),
     });
-    if (migrationSources.from.length > 0) void prepare(migrationSources);
+    if (plan.sources.length > 0) void prepare(plan);
     return null;
   }
 
   function estimateRemaining() {
-    const restTokens = request.maxTokens - progress.delivered.length;
-    const restMs = restTokens * (pace.gapMs() ?? 0);
-    const { restMs: leastMs, slowMs } = moves;
-    return { restTokens, restMs, leastMs, slowMs };
+    const remainingTokens = request.maxTokens - progress.deliveredTokens.length;
+    const remainingMs = remainingTokens * (pace.averageGapMs() ?? 0);
+    const { restMs: minBenefitMs, slowMs: slowLinkMs } = moves;
+    return { remainingTokens, remainingMs, minBenefitMs, slowLinkMs };
   }
 
-  async function prepare(migrationSources: MigrationSources): Promise<void> {
-    const { from } = migrationSources;
+  async function prepare(plan: MigrationSources): Promise<void> {
+    const { sources } = plan;
     isPreparing = true;
     try {
-      const grant = await acquire(migrationSources);
+      const grant = await acquire(plan);
       if (!grant) return;
       // Migrating all answers of an engine at once would delay the answers of
       // the engines that receive them.
-      const endTurn = await options.recoveries.takeTurn(
+      const releaseSlot = await options.recoveries.acquireSlot(
         request.priority,
         signal,
       );
-      if (endTurn && !signal.aborted) offerMigration({ grant, endTurn, from });
-      else releaseMigration({ grant, endTurn });
+      if (releaseSlot && !signal.aborted)
+        offerMigration({ grant, releaseSlot, sources });
+      else releaseMigration({ grant, releaseSlot });
     } catch (error) {
       // The attempt keeps running on its engines without the migration.
       const reason = error instanceof Error ? error.message : String(error);
@@ -133,18 +134,16 @@
    * would occupy all slots of the recovery limiter.
    */
   function offerMigration(offered: Migration): void {
-    move = offered;
+    readyMigration = offered;
     setTimeout(() => {
-      if (move !== offered) return;
-      move = null;
+      if (readyMigration !== offered) return;
+      readyMigration = null;
       releaseMigration(offered);
     }, MIGRATION_OFFER_MS).unref();
   }
 
-  async function acquire(
-    migrationSources: MigrationSources,
-  ): Promise<Grant | null> {
-    const { version, avoid } = progress;
+  async function acquire(plan: MigrationSources): Promise<Grant | null> {
+    const { version, avoidedEngines } = progress;
     if (!version) return null;
     const acquireDeadlineAt = Math.min(
       Date.now() + ACQUIRE_TIMEOUT_MS,
@@ -154,9 +153,9 @@
     const result = await router.acquire({
       request: { ...request, deadlineAt: acquireDeadlineAt },
       version,
-      avoid: new Set([...avoid, ...migrationSources.avoid]),
+      avoid: new Set([...avoidedEngines, ...plan.avoid]),
       prefer: new Set(
-        currentEngines.filter((engine) => !migrationSources.avoid.has(engine)),
+        currentEngines.filter((engine) => !plan.avoid.has(engine)),
       ),
       isRecovery: true,
       signal,
@@ -165,20 +164,20 @@
   }
 
   return {
-    ready,
+    takeMigration,
     stop() {
       stopped.abort();
-      if (move) releaseMigration(move);
-      move = null;
+      if (readyMigration) releaseMigration(readyMigration);
+      readyMigration = null;
     },
   };
 }
 
 /** Releases the engines and the recovery slot of a migration. */
-export function releaseMigration(move: {
+export function releaseMigration(migration: {
   readonly grant: Grant;
-  readonly endTurn: (() => void) | null;
+  readonly releaseSlot: (() => void) | null;
 }): void {
-  move.endTurn?.();
-  move.grant.release();
+  migration.releaseSlot?.();
+  migration.grant.release();
 }
--- a/packages/calls/src/answer_migration_sources.ts
+++ b/packages/calls/src/answer_migration_sources.ts
@@ -7,18 +7,18 @@
   readonly model: string;
   readonly stages: readonly Stage[];
   /** Maximum number of tokens to come, and their expected duration. */
-  readonly restTokens: number;
-  readonly restMs: number;
+  readonly remainingTokens: number;
+  readonly remainingMs: number;
   /** Minimum expected remaining time or gain for a migration. */
-  readonly leastMs: number;
+  readonly minBenefitMs: number;
   /** Excess over the typical send time from which a link counts as slow. */
-  readonly slowMs: number;
+  readonly slowLinkMs: number;
 }
 
 /** Engines to migrate off, and engines that are unsuitable as targets. */
 export interface MigrationSources {
   /** Engines of the pipeline that the answer should migrate off. */
-  readonly from: readonly string[];
+  readonly sources: readonly string[];
   /** All engines that are leaving or have a slow link. */
   readonly avoid: ReadonlySet<string>;
 }
@@ -32,33 +32,35 @@
   engines: readonly KnownEngine[],
   options: MigrationSourceOptions,
 ): MigrationSources {
-  const { stages, restTokens, restMs, leastMs, slowMs } = options;
+  const { stages, remainingTokens, remainingMs, minBenefitMs, slowLinkMs } =
+    options;
   const stageEngines = new Set(stages.map(({ engine }) => engine));
   const leaving = idsOf(engines.filter(({ state }) => state?.leaving));
   const leavingStages = leaving.filter((id) => stageEngines.has(id));
   // A leaving engine takes precedence, and a slow engine may replace it.
-  if (leavingStages.length > 0 && restMs >= leastMs) {
-    return { from: leavingStages, avoid: new Set(leaving) };
+  if (leavingStages.length > 0 && remainingMs >= minBenefitMs) {
+    return { sources: leavingStages, avoid: new Set(leaving) };
   }
   const avoid = new Set(leaving);
   // Common case: no stage exceeds the threshold, so none can exceed it relative
   // to other engines.
   const mayBeSlow = engines.some(
     ({ settings, state }) =>
-      stageEngines.has(settings.id) && (state?.sendMs ?? 0) >= slowMs,
+      stageEngines.has(settings.id) && (state?.sendMs ?? 0) >= slowLinkMs,
   );
-  if (!mayBeSlow) return { from: [], avoid };
+  if (!mayBeSlow) return { sources: [], avoid };
   const typicalSendMs = findTypicalSendMs(engines, options.model);
-  const from: string[] = [];
-  for (const known of engines) {
-    const { id } = known.settings;
-    const typicalMs = typicalSendMs.get(layerKeyOf(known, options.model)) ?? 0;
-    const excessMs = (known.state?.sendMs ?? 0) - typicalMs;
-    if (excessMs < slowMs) continue;
+  const sources: string[] = [];
+  for (const engine of engines) {
+    const { id } = engine.settings;
+    const typicalMs = typicalSendMs.get(layerKeyOf(engine, options.model)) ?? 0;
+    const excessMs = (engine.state?.sendMs ?? 0) - typicalMs;
+    if (excessMs < slowLinkMs) continue;
     avoid.add(id);
-    if (stageEngines.has(id) && restTokens * excessMs >= leastMs) from.push(id);
+    if (stageEngines.has(id) && remainingTokens * excessMs >= minBenefitMs)
+      sources.push(id);
   }
-  return { from, avoid };
+  return { sources, avoid };
 }
 
 function idsOf(engines: readonly KnownEngine[]): string[] {
@@ -75,11 +77,11 @@
   model: string,
 ): ReadonlyMap<string, number> {
   const times = new Map<string, number[]>();
-  for (const known of engines) {
-    if (!known.usable) continue;
-    const layers = layerKeyOf(known, model);
+  for (const engine of engines) {
+    if (!engine.usable) continue;
+    const layers = layerKeyOf(engine, model);
     const group = times.get(layers) ?? [];
-    group.push(known.state?.sendMs ?? 0);
+    group.push(engine.state?.sendMs ?? 0);
     times.set(layers, group);
   }
   // The lower of the two middle values, since with two engines the upper one
--- a/packages/calls/src/answer_migration_sources_test.ts
+++ b/packages/calls/src/answer_migration_sources_test.ts
@@ -31,15 +31,15 @@
     address: scriptedAddress(1),
     layers: LAYERS,
   };
-  const { from, avoid } = findMigrationSources(engines, {
+  const { sources, avoid } = findMigrationSources(engines, {
     model: "assist",
     stages: [stage],
-    restTokens,
-    restMs: restTokens * 20,
-    leastMs: 1_000,
-    slowMs: 20,
+    remainingTokens: restTokens,
+    remainingMs: restTokens * 20,
+    minBenefitMs: 1_000,
+    slowLinkMs: 20,
   });
-  return { from, avoid: [...avoid] };
+  return { sources, avoid: [...avoid] };
 }
 
 describe("migration sources", () => {
@@ -51,10 +51,10 @@
     const peers = [engine(2, { sendMs: 1 }), engine(3, { sendMs: 2 })];
     const slow = engine(1, { sendMs: 42 });
     expect(findSources([slow, ...peers])).toEqual({
-      from: ["engine-1"],
+      sources: ["engine-1"],
       avoid: ["engine-1"],
     });
-    expect(findSources([slow, engine(2, { sendMs: 1 })]).from).toEqual([
+    expect(findSources([slow, engine(2, { sendMs: 1 })]).sources).toEqual([
       "engine-1",
     ]);
   });
@@ -67,7 +67,7 @@
     ["that is the only one with its layers", [42], 100],
   ])("exclude an engine %s", (_name, times, restTokens) => {
     const engines = times.map((sendMs, index) => engine(index + 1, { sendMs }));
-    expect(findSources(engines, restTokens).from).toEqual([]);
+    expect(findSources(engines, restTokens).sources).toEqual([]);
   });
 
   it("include a leaving engine if enough tokens remain", () => {
@@ -76,8 +76,8 @@
       engine(2, { leaving: true }),
     ];
     const avoid = ["engine-1", "engine-2"];
-    expect(findSources(engines)).toEqual({ from: ["engine-1"], avoid });
-    expect(findSources(engines, 10)).toEqual({ from: [], avoid });
+    expect(findSources(engines)).toEqual({ sources: ["engine-1"], avoid });
+    expect(findSources(engines, 10)).toEqual({ sources: [], avoid });
   });
 
   /**
@@ -88,7 +88,7 @@
     const slow = engine(2, { sendMs: 42 });
     const engines = [engine(1, { leaving: true }), slow, engine(3, {})];
     expect(findSources(engines)).toEqual({
-      from: ["engine-1"],
+      sources: ["engine-1"],
       avoid: ["engine-1"],
     });
   });
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -290,7 +290,7 @@
     const layers = { from: 0, to: 8 };
     const stage = { engine: first.id, address: first.address, layers };
     const released = vi.fn();
-    const limiter = createRecoveryLimiter({ atOnce: 1 });
+    const limiter = createRecoveryLimiter({ maxConcurrent: 1 });
     const progress = createProgress();
     progress.version =
       serveVersions({
@@ -299,7 +299,7 @@
         versions: ["v1"],
         layers: LAYERS,
       }).catalogue.models.assist?.versions.v1 ?? null;
-    const mover = createMigrator({
+    const migrator = createMigrator({
       request: request(),
       attempt: {
         ...request(),
@@ -326,9 +326,12 @@
       pace: createTokenPace(defaultLiveness),
       moves: { restMs: 0, slowMs: SLOW_MS, lookMs: 0 },
     });
-    expect(mover.ready()).toBeNull();
+    expect(migrator.takeMigration()).toBeNull();
     await vi.advanceTimersByTimeAsync(0);
-    const next = limiter.takeTurn("interactive", new AbortController().signal);
+    const next = limiter.acquireSlot(
+      "interactive",
+      new AbortController().signal,
+    );
     await vi.advanceTimersByTimeAsync(1_000);
     expect(released).toHaveBeenCalledOnce();
     expect(await next).not.toBeNull();
--- a/packages/calls/src/answer_progress.ts
+++ b/packages/calls/src/answer_progress.ts
@@ -16,36 +16,36 @@
 
 /** Mutable state of an answer, updated by each attempt. */
 export interface Progress {
-  readonly delivered: string[];
+  readonly deliveredTokens: string[];
   digest: string;
   version: ModelVersion | null;
   noteNumber: number;
-  attempt: number;
+  attemptNumber: number;
   /** Attempts since the last new token. */
-  fruitless: number;
+  attemptsSinceToken: number;
   /** Whether an engine may have run part of the answer. */
-  started: boolean;
+  mayHaveRun: boolean;
   /** Time at which a stage was found lost; reset by the next token. */
-  lostAt: number | null;
+  stageLostAt: number | null;
   /** Engines that failed this answer, by name. */
-  readonly avoid: Set<string>;
+  readonly avoidedEngines: Set<string>;
   /** KV caches of the answer, by engine name. */
-  readonly kept: Map<string, EngineCache>;
+  readonly caches: Map<string, EngineCache>;
 }
 
 /** Creates the state of an answer that has not started. */
 export function createProgress(): Progress {
   return {
-    delivered: [],
+    deliveredTokens: [],
     digest: "",
     version: null,
     noteNumber: 0,
-    attempt: 0,
-    fruitless: 0,
-    started: false,
-    lostAt: null,
-    avoid: new Set(),
-    kept: new Map(),
+    attemptNumber: 0,
+    attemptsSinceToken: 0,
+    mayHaveRun: false,
+    stageLostAt: null,
+    avoidedEngines: new Set(),
+    caches: new Map(),
   };
 }
 
@@ -59,11 +59,12 @@
   },
 ): AttemptRequest {
   const { progress, stages, incarnations } = options;
-  const positions = request.promptTokens.length + progress.delivered.length - 1;
+  const positions =
+    request.promptTokens.length + progress.deliveredTokens.length - 1;
   return {
     requestId: request.requestId,
     organisation: request.organisation,
-    attempt: progress.attempt,
+    attempt: progress.attemptNumber,
     model: request.model,
     version: progress.version?.version ?? "",
     adapter: request.adapter,
@@ -76,7 +77,7 @@
         : {}),
     })),
     promptTokens: [...request.promptTokens],
-    deliveredTokens: [...progress.delivered],
+    deliveredTokens: [...progress.deliveredTokens],
     maxTokens: request.maxTokens,
     priority: request.priority,
   };
@@ -89,9 +90,9 @@
     readonly incarnations: ReadonlyMap<string, number>;
   },
 ): boolean {
-  const kept = options.progress.kept.get(stage.engine);
-  if (!kept) return false;
-  const { layers, incarnation } = kept;
+  const cache = options.progress.caches.get(stage.engine);
+  if (!cache) return false;
+  const { layers, incarnation } = cache;
   return (
     layers.from === stage.layers.from &&
     layers.to === stage.layers.to &&
@@ -109,11 +110,11 @@
   progress: Progress,
   options: {
     readonly attempt: AttemptRequest;
-    readonly gaveToken: boolean;
+    readonly hasNewToken: boolean;
     readonly incarnations: ReadonlyMap<string, number>;
   },
 ): void {
-  const { attempt, gaveToken, incarnations } = options;
+  const { attempt, hasNewToken, incarnations } = options;
   const { stages } = attempt;
   stages.forEach(({ engine, layers, keptPositions, importFrom }, index) => {
     const followingStages = stages.slice(index);
@@ -121,17 +122,17 @@
       keptPositions !== undefined &&
       !importFrom &&
       followingStages.every((stage) => stage.keptPositions !== undefined);
-    if (!gaveToken && !isCacheIntact) {
-      progress.kept.delete(engine);
+    if (!hasNewToken && !isCacheIntact) {
+      progress.caches.delete(engine);
       return;
     }
     const incarnation = incarnations.get(engine);
-    progress.kept.set(engine, { layers, incarnation });
+    progress.caches.set(engine, { layers, incarnation });
   });
-  if (!gaveToken) return;
+  if (!hasNewToken) return;
   const stageEngines = new Set(stages.map(({ engine }) => engine));
-  for (const engine of progress.kept.keys()) {
-    if (!stageEngines.has(engine)) progress.kept.delete(engine);
+  for (const engine of progress.caches.keys()) {
+    if (!stageEngines.has(engine)) progress.caches.delete(engine);
   }
 }
 
@@ -141,6 +142,6 @@
     version: progress.version?.version ?? "",
     noteNumber: progress.noteNumber,
     digest: progress.digest,
-    attempts: progress.attempt,
+    attempts: progress.attemptNumber,
   };
 }
--- a/packages/calls/src/answer_recovery_limiter.ts
+++ b/packages/calls/src/answer_recovery_limiter.ts
@@ -12,7 +12,7 @@
    * answers at once. Recomputing all their prompts concurrently would stall the
    * remaining engines, which would then be taken for frozen and abandoned.
    */
-  takeTurn(
+  acquireSlot(
     priority: Priority,
     signal: AbortSignal,
   ): Promise<(() => void) | null>;
@@ -25,9 +25,9 @@
 
 /** Creates a limiter, which all answers of an instance share. */
 export function createRecoveryLimiter(
-  options: { readonly atOnce?: number; readonly metrics?: Metrics } = {},
+  options: { readonly maxConcurrent?: number; readonly metrics?: Metrics } = {},
 ): RecoveryLimiter {
-  const { atOnce = MAX_CONCURRENT_RECOVERIES, metrics } = options;
+  const { maxConcurrent = MAX_CONCURRENT_RECOVERIES, metrics } = options;
   const waiting: Waiter[] = [];
   let occupiedSlots = 0;
 
@@ -55,9 +55,9 @@
   }
 
   return {
-    takeTurn(priority, signal) {
+    acquireSlot(priority, signal) {
       if (signal.aborted) return Promise.resolve(null);
-      if (occupiedSlots < atOnce) return Promise.resolve(occupySlot());
+      if (occupiedSlots < maxConcurrent) return Promise.resolve(occupySlot());
       return new Promise((resolve) => {
         const onAbort = () => {
           removeWaiter(waiter);
--- a/packages/calls/src/answer_recovery_limiter_test.ts
+++ b/packages/calls/src/answer_recovery_limiter_test.ts
@@ -11,13 +11,13 @@
    * answer goes before a batch answer that has waited longer.
    */
   it("limits concurrent recoveries and serves urgent ones first", async () => {
-    const limiter = createRecoveryLimiter({ atOnce: 2 });
+    const limiter = createRecoveryLimiter({ maxConcurrent: 2 });
     const order: string[] = [];
-    const first = await limiter.takeTurn("batch", neverAborted);
-    const second = await limiter.takeTurn("batch", neverAborted);
+    const first = await limiter.acquireSlot("batch", neverAborted);
+    const second = await limiter.acquireSlot("batch", neverAborted);
     const waiting = (["batch", "standard", "interactive"] as const).map(
       async (priority) => {
-        const releaseSlot = await limiter.takeTurn(priority, neverAborted);
+        const releaseSlot = await limiter.acquireSlot(priority, neverAborted);
         order.push(priority);
         return releaseSlot;
       },
@@ -37,11 +37,11 @@
    * A caller disconnects while its answer waits: the next one gets the slot.
    */
   it("gives no slot to a caller that has disconnected", async () => {
-    const limiter = createRecoveryLimiter({ atOnce: 1 });
+    const limiter = createRecoveryLimiter({ maxConcurrent: 1 });
     const left = new AbortController();
-    const first = await limiter.takeTurn("standard", neverAborted);
-    const leaving = limiter.takeTurn("interactive", left.signal);
-    const staying = limiter.takeTurn("batch", neverAborted);
+    const first = await limiter.acquireSlot("standard", neverAborted);
+    const leaving = limiter.acquireSlot("interactive", left.signal);
+    const staying = limiter.acquireSlot("batch", neverAborted);
     left.abort();
     expect(await leaving).toBeNull();
     first?.();
--- a/packages/calls/src/answer_resume.ts
+++ b/packages/calls/src/answer_resume.ts
@@ -135,7 +135,7 @@
 
 function createNoNoteFailure(): CallFailure {
   return failedRun("no_release_note", {
-    message: "this instance has no release note to answer from; ask again",
+    message: "this instance has no valid release note; retry the request",
     retryAfterSeconds: NO_NOTE_RETRY_SECONDS,
   });
 }
@@ -165,28 +165,28 @@
   options: AnswerDependencies,
 ): Progress {
   const progress = createProgress();
-  progress.delivered.push(...tokens);
+  progress.deliveredTokens.push(...tokens);
   const catalogue = options.keeper.current()?.catalogue;
   const model = catalogue?.models[request.model];
   progress.version = model?.versions[request.version] ?? null;
   progress.noteNumber = request.noteNumber;
   progress.digest = digest;
-  progress.attempt = request.attempt;
-  progress.started = true;
+  progress.attemptNumber = request.attempt;
+  progress.mayHaveRun = true;
   // A new token proves that each stage had the KV cache. An engine that has
   // lost it since reports that, and the attempt after it recomputes.
   if (tokens.length === request.deliveredTokens.length) return progress;
   const incarnations = readIncarnations(options.fleet);
   for (const { engine, layers } of request.stages) {
     const incarnation = incarnations.get(engine);
-    progress.kept.set(engine, { layers, incarnation });
+    progress.caches.set(engine, { layers, incarnation });
   }
   return progress;
 }
 
 function createLostAnswerFailure(): CallFailure {
   return failedRun("answer_lost", {
-    message: "no engine has this answer any more; send the request again",
+    message: "the answer is no longer stored; send the request again",
     retryAfterSeconds: LOST_ANSWER_RETRY_SECONDS,
   });
 }
--- a/packages/calls/src/answer_stall.ts
+++ b/packages/calls/src/answer_stall.ts
@@ -9,19 +9,22 @@
  */
 export async function checkStall(
   silentMs: number,
-  options: RunningAttempt & { readonly reader: { hasEvent(): boolean } },
+  options: RunningAttempt & { readonly reader: { hasPendingEvent(): boolean } },
 ): Promise<AttemptEnd | null> {
-  const { attempt, liveness, lost, reader, signal } = options;
+  const { attempt, liveness, lostStages, reader, signal } = options;
   const { probeMs } = liveness;
-  const lostStages = await findLostStages(attempt.stages, {
+  const newlyLost = await findLostStages(attempt.stages, {
     ...options,
     probeMs,
   });
   if (signal.aborted) return { kind: "retry", reason: "cancelled" };
-  if (reader.hasEvent()) return null;
-  if (lostStages.length > 0) {
-    for (const { engine } of lostStages) lost.set(engine, "unreachable");
-    return { kind: "retry", reason: `no sign of ${joinEngines(lostStages)}` };
+  if (reader.hasPendingEvent()) return null;
+  if (newlyLost.length > 0) {
+    for (const { engine } of newlyLost) lostStages.set(engine, "unreachable");
+    return {
+      kind: "retry",
+      reason: `no response from ${joinEngines(newlyLost)}`,
+    };
   }
   // All stages respond but no event arrives: a message between them was lost.
   // The next attempt reuses the same KV caches, so a retry is cheap.
--- a/packages/calls/src/answer_version.ts
+++ b/packages/calls/src/answer_version.ts
@@ -29,7 +29,7 @@
   const { progress, record, router } = options;
   if (!record) {
     const code = "no_release_note";
-    if (progress.started) return createGiveUpFailure(code, progress);
+    if (progress.mayHaveRun) return createGiveUpFailure(code, progress);
     return notRun(code, {
       message: "this instance has no release note yet; try again",
       retryAfterSeconds: NO_NOTE_RETRY_SECONDS,
@@ -39,7 +39,7 @@
   if (version) {
     const answer = { ...request, version: version.version };
     if (mayContinue(record, answer)) return null;
-    if (progress.delivered.length > 0) {
+    if (progress.deliveredTokens.length > 0) {
       return withdrawnBy(record.number, {
         what: `version '${version.version}' of model '${request.model}'`,
         reason: record.note.reason,
