--- a/packages/calls/src/answer_cache_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -64,10 +64,10 @@
     readonly engines: ReadonlyMap<string, KnownEngine>;
   },
 ): CacheHolder[] {
-  const names = new Set(options.stages.map(({ engine }) => engine));
+  const stageEngines = new Set(options.stages.map(({ engine }) => engine));
   return [...progress.caches].flatMap(([name, { layers, incarnation }]) => {
     const engine = options.engines.get(name);
-    if (!engine || names.has(name)) return [];
+    if (!engine || stageEngines.has(name)) return [];
     // A restart has emptied the engine's memory.
     if (engine.state?.incarnation !== incarnation) return [];
     return [{ engine, layers }];
--- a/packages/calls/src/answer_cache_import_plan.ts
+++ b/packages/calls/src/answer_cache_import_plan.ts
@@ -4,8 +4,8 @@
 import type { LinkSpeeds } from "./answer_link_speeds.ts";
 
 /**
- * Per position and layer, for engines that report no value; typical of large
- * models.
+ * Defaults per position and layer for engines that report no value, typical of
+ * large models.
  */
 const DEFAULT_CACHE_BYTES = 4_096;
 const DEFAULT_PROMPT_MICROS = 5;
@@ -38,9 +38,9 @@
 
 /**
  * Returns the cache source of each stage that should import, by engine. A stage
- * that recomputes needs the outputs of all stages before it, so these run
- * again too. Each plan therefore has a last recomputed stage, after which every
- * stage without cache imports. The plan with the lowest estimated cost wins.
+ * that recomputes needs the outputs of all stages before it, so these run again
+ * too. Each plan therefore has a last recomputed stage, after which every stage
+ * without cache imports. The plan with the lowest estimated cost is chosen.
  */
 export function chooseImports(
   stages: readonly Stage[],
--- a/packages/calls/src/answer_cache_import_plan_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -46,7 +46,7 @@
  * Plans imports for the stages `new-0` to `new-2`, of which those in `missing`
  * have no cache.
  */
-function choose(options: {
+function planImports(options: {
   readonly missing: readonly number[];
   readonly bytesPerSecond: number;
   readonly holders?: readonly LayerRange[];
@@ -113,14 +113,14 @@
     ],
     ["for no stage when none lacks its cache", [], 1e9, []],
   ])("imports %s", (_name, missing, bytesPerSecond, expected) => {
-    expect(choose({ missing, bytesPerSecond })).toEqual(expected);
+    expect(planImports({ missing, bytesPerSecond })).toEqual(expected);
   });
 
   /** Layers without a cache holder are recomputed, as are all layers before. */
   it("imports nothing before a stage that recomputes", () => {
     const [first = { from: 0, to: 1 }] = RANGES;
     const link = { bytesPerSecond: 1e9, holders: [first] };
-    expect(choose({ missing: [0, 2], ...link })).toEqual([]);
-    expect(choose({ missing: [0], ...link })).toHaveLength(1);
+    expect(planImports({ missing: [0, 2], ...link })).toEqual([]);
+    expect(planImports({ missing: [0], ...link })).toHaveLength(1);
   });
 });
--- a/packages/calls/src/answer_link_speeds.ts
+++ b/packages/calls/src/answer_link_speeds.ts
@@ -36,6 +36,7 @@
 
 /** Weighted average speed of each link, over its latest transfers. */
 export interface LinkSpeeds {
+  /** Records a completed transfer. */
   observe(link: Link, transfer: Transfer): void;
   /**
    * Records a transfer that timed out; its speed is an upper bound. It counts
@@ -92,31 +93,35 @@
   readonly forgetMs: number;
 }) {
   const { maxPairs, forgetMs } = options;
-  const sums = new Map<string, Transfer & { readonly observedAt: number }>();
+  const weightedSums = new Map<
+    string,
+    Transfer & { readonly observedAt: number }
+  >();
 
   function readUnexpired(key: string): Transfer | undefined {
-    const sum = sums.get(key);
-    return sum && performance.now() - sum.observedAt < forgetMs
-      ? sum
+    const weighted = weightedSums.get(key);
+    return weighted && performance.now() - weighted.observedAt < forgetMs
+      ? weighted
       : undefined;
   }
 
   return {
     observe(key: string, next: Transfer): void {
       const previous = readUnexpired(key) ?? { bytes: 0, durationMs: 0 };
-      sums.delete(key);
-      sums.set(key, {
+      weightedSums.delete(key);
+      weightedSums.set(key, {
         bytes: previous.bytes * DECAY + next.bytes,
         durationMs: previous.durationMs * DECAY + next.durationMs,
         observedAt: performance.now(),
       });
-      const [oldest] = sums.keys();
-      if (sums.size > maxPairs && oldest !== undefined) sums.delete(oldest);
+      const [oldest] = weightedSums.keys();
+      if (weightedSums.size > maxPairs && oldest !== undefined)
+        weightedSums.delete(oldest);
     },
     read(key: string): number | undefined {
-      const sum = readUnexpired(key);
-      if (!sum || sum.durationMs <= 0) return undefined;
-      return (sum.bytes / sum.durationMs) * MS_PER_SECOND;
+      const weighted = readUnexpired(key);
+      if (!weighted || weighted.durationMs <= 0) return undefined;
+      return (weighted.bytes / weighted.durationMs) * MS_PER_SECOND;
     },
   };
 }
--- a/packages/calls/src/answer_liveness.ts
+++ b/packages/calls/src/answer_liveness.ts
@@ -29,12 +29,13 @@
 /** Multiple of the average gap between tokens that counts as silence. */
 const SILENCE_GAP_FACTOR = 5;
 const GAP_SMOOTHING_FACTOR = 0.2;
-/** Minimum time that other engines get after the first probe response. */
+/** Minimum time that other engines get to respond after a probe response. */
 const MIN_PROBE_GRACE_MS = 80;
 const PROBE_GRACE_FACTOR = 10;
 
 /** Moving average of the gaps between an answer's tokens, over all attempts. */
 export interface TokenPace {
+  /** Adds the gap before a new token. */
   observe(gapMs: number): void;
   /** The average gap; `null` before the first token. */
   averageGapMs(): number | null;
@@ -72,6 +73,7 @@
 
 /** Reads a stream with a timeout. No event is lost by a timeout. */
 export interface EventReader {
+  /** Reads the next event; `timeout` if none arrives within `timeoutMs`. */
   next(timeoutMs: number): Promise<NextEvent>;
   /** Whether an event, or the end, has arrived and not been read yet. */
   hasPendingEvent(): boolean;
@@ -82,7 +84,7 @@
   events: AsyncIterable<EngineEvent>,
 ): EventReader {
   const iterator = events[Symbol.asyncIterator]();
-  let pending: Promise<NextEvent> | null = null;
+  let pendingEvent: Promise<NextEvent> | null = null;
   let hasArrived = false;
 
   function read(): Promise<NextEvent> {
@@ -102,10 +104,10 @@
   }
 
   return {
-    hasPendingEvent: () => hasArrived && pending !== null,
+    hasPendingEvent: () => hasArrived && pendingEvent !== null,
     next(timeoutMs) {
-      pending ??= read();
-      const pendingRead = pending;
+      pendingEvent ??= read();
+      const pendingRead = pendingEvent;
       return new Promise((resolve) => {
         let isWaiting = true;
         const timer = setTimeout(() => {
@@ -117,7 +119,7 @@
           // token that arrives while stages are probed would be lost.
           if (!isWaiting) return;
           clearTimeout(timer);
-          pending = null;
+          pendingEvent = null;
           resolve(next);
         });
       });
--- a/packages/calls/src/answer_migration_sources_test.ts
+++ b/packages/calls/src/answer_migration_sources_test.ts
@@ -25,7 +25,7 @@
 }
 
 /** Sources for an answer on engine 1 that expects 20 ms per remaining token. */
-function findSources(engines: readonly KnownEngine[], restTokens = 100) {
+function findSources(engines: readonly KnownEngine[], remainingTokens = 100) {
   const stage = {
     engine: "engine-1",
     address: scriptedAddress(1),
@@ -34,8 +34,8 @@
   const { sources, avoid } = findMigrationSources(engines, {
     model: "assist",
     stages: [stage],
-    remainingTokens: restTokens,
-    remainingMs: restTokens * 20,
+    remainingTokens,
+    remainingMs: remainingTokens * 20,
     minBenefitMs: 1_000,
     slowLinkMs: 20,
   });
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -90,10 +90,10 @@
 /** A fleet whose engines report a high cost of recomputing prompts. */
 function withExpensivePrompts(realFleet: EngineFleet): EngineFleet {
   const engines = () =>
-    realFleet.engines().map((known) => {
-      const { state } = known;
-      if (!state) return known;
-      return { ...known, state: { ...state, promptMicros: PROMPT_MICROS } };
+    realFleet.engines().map((engine) => {
+      const { state } = engine;
+      if (!state) return engine;
+      return { ...engine, state: { ...state, promptMicros: PROMPT_MICROS } };
     });
   return { ...realFleet, engines };
 }
@@ -144,8 +144,9 @@
     leaving = lastRun?.engine ?? "";
     if (options.linkMs) return group.slowLink(leaving, options.linkMs);
     await group.leave(leaving);
-    const known = group.engines.find(({ id }) => id === leaving);
-    const state = known && (await engines.readState(known.address));
+    const leavingEngine = group.engines.find(({ id }) => id === leaving);
+    const state =
+      leavingEngine && (await engines.readState(leavingEngine.address));
     if (state) fleet.observe(state);
   }
 }
@@ -235,7 +236,7 @@
    * engines were acquired, the answer would fail, although the leaving engine
    * could still complete it.
    */
-  it("leaves an answer in place if no other engine has its layers", async () => {
+  it("keeps an answer in place if no other engine has its layers", async () => {
     await startEngines(1);
     const { leaving, ...answer } = await runAndMigrate(1);
     expect(answer).toEqual(expected());
@@ -245,7 +246,7 @@
     expect(leaving).not.toBe("");
   });
 
-  it("leaves an answer in place that is about to end", async () => {
+  it("keeps an answer in place that is about to end", async () => {
     await startEngines(2);
     const { digest } = await runAndMigrate(1, { restMs: 60_000 });
     expect(digest).toBe(expected().digest);
@@ -281,7 +282,7 @@
     if (!state) throw new Error("the engine did not return its state");
     vi.useFakeTimers();
     const leaving = { ...state, leaving: true };
-    const known = {
+    const leavingEngine = {
       settings: first,
       usable: false,
       inFlight: 0,
@@ -311,7 +312,7 @@
         deliveredTokens: [],
       },
       progress,
-      fleet: { engines: () => [known] },
+      fleet: { engines: () => [leavingEngine] },
       router: {
         async acquire() {
           const grant = {
--- a/packages/calls/src/answer_resume.ts
+++ b/packages/calls/src/answer_resume.ts
@@ -22,7 +22,7 @@
   readonly requestId: string;
   /** Engine of the first stage, which stores the answer for a limited time. */
   readonly engine: string;
-  /** Index of the last received token. */
+  /** Index of the token that the event delivers. */
   readonly index: number;
 }
 
@@ -39,11 +39,14 @@
   return { requestId, engine, index: Number(index) };
 }
 
+/** What an instance needs to resume answers. */
 export interface ResumeDependencies extends AnswerDependencies {
   readonly parked: ParkedAnswers;
 }
 
+/** A caller's request for the rest of an answer. */
 export interface ResumeRequest {
+  /** The last event that the caller received. */
   readonly last: EventId;
   readonly organisation: string;
   /** Fair-queueing weight of the organisation. */
