--- a/packages/calls/src/answer_cache_import_plan.ts
+++ b/packages/calls/src/answer_cache_import_plan.ts
@@ -51,9 +51,12 @@
       options.enginesWithCache.has(engine) ? [] : [index],
     )
     .map((lastRecomputed) =>
-      createPlan(stages, { ...options, last: lastRecomputed }),
+      createPlan(stages, { ...options, lastRecomputed }),
     );
-  const all = [createPlan(stages, { ...options, last: -1 }), ...plans];
+  const all = [
+    createPlan(stages, { ...options, lastRecomputed: -1 }),
+    ...plans,
+  ];
   const [cheapest] = all
     .filter((plan) => plan !== null)
     .sort((a, b) => a.costMs - b.costMs);
@@ -61,20 +64,20 @@
 }
 
 /**
- * Plan that recomputes the stages up to index `last` and imports for the later
- * ones; `null` when one of these has no source.
+ * Plan that recomputes the stages up to index `lastRecomputed` and imports for
+ * the later ones; `null` when one of these has no source.
  */
 function createPlan(
   stages: readonly Stage[],
-  options: ImportOptions & { readonly last: number },
+  options: ImportOptions & { readonly lastRecomputed: number },
 ): ImportPlan | null {
-  const { enginesWithCache, positions, last } = options;
-  const recomputed = stages.slice(0, last + 1);
+  const { enginesWithCache, positions, lastRecomputed } = options;
+  const recomputed = stages.slice(0, lastRecomputed + 1);
   let costMs = recomputeMs(recomputed, options);
   const sources = new Map<string, CacheSource>();
-  if (positions <= 0) return last < 0 ? { costMs, sources } : null;
+  if (positions <= 0) return lastRecomputed < 0 ? { costMs, sources } : null;
   for (const [index, stage] of stages.entries()) {
-    if (index <= last || enginesWithCache.has(stage.engine)) continue;
+    if (index <= lastRecomputed || enginesWithCache.has(stage.engine)) continue;
     const holder = findHolder(stage, options);
     if (!holder) return null;
     costMs += importMs(stage, { ...options, holder });
--- a/packages/calls/src/answer_failure.ts
+++ b/packages/calls/src/answer_failure.ts
@@ -12,7 +12,7 @@
   code: string,
   progress: Progress,
 ): CallFailure {
-  const message = `none of ${progress.attemptNumber} attempts completed; retry the request`;
+  const message = `failed after ${progress.attemptNumber} attempts; retry later`;
   const msSinceLoss =
     progress.stageLostAt === null
       ? 0
