--- a/packages/calls/src/answer_attempt.ts
+++ b/packages/calls/src/answer_attempt.ts
@@ -75,7 +75,7 @@
 }
 
 /**
- * Starts the attempt on the first engine, within `liveness.startMs`. A frozen
+ * Starts the attempt on the first engine, with the start timeout. A frozen
  * process accepts the connection and never responds. After the timeout the
  * attempt still counts as started, since the engine may read the request from
  * its socket buffers once it resumes.
--- a/packages/calls/src/answer_cache_import_plan.ts
+++ b/packages/calls/src/answer_cache_import_plan.ts
@@ -38,9 +38,10 @@
 
 /**
  * Returns the cache source of each stage that should import, by engine. A stage
- * that recomputes needs the outputs of all stages before it, so these run again
- * too. Each plan therefore has a last recomputed stage, after which every stage
- * without cache imports. The plan with the lowest estimated cost is chosen.
+ * that recomputes needs the outputs of all stages before it, so these are
+ * recomputed too. Each plan therefore has a last recomputed stage, after which
+ * every stage without cache imports. The plan with the lowest estimated cost is
+ * chosen.
  */
 export function chooseImports(
   stages: readonly Stage[],
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -101,7 +101,7 @@
 /** Runs an answer during which the engine of `stage` leaves or slows down. */
 async function runAndMigrate(
   stage: number,
-  options: { readonly restMs?: number; readonly linkMs?: number } = {},
+  options: { readonly minBenefitMs?: number; readonly linkMs?: number } = {},
 ) {
   const engines = createEngineClient();
   fleet = createEngineFleet({ engines: group.engines, client: engines });
@@ -129,7 +129,7 @@
     liveness: LONG_TIMEOUTS,
     recoveries: createRecoveryLimiter(),
     links: createLinkSpeeds(),
-    moves: { restMs: options.restMs ?? 0, slowMs: SLOW_MS, lookMs: 1 },
+    moves: { restMs: options.minBenefitMs ?? 0, slowMs: SLOW_MS, lookMs: 1 },
     signal: new AbortController().signal,
   });
   for await (const event of answer) {
@@ -248,7 +248,7 @@
 
   it("keeps an answer in place that is about to end", async () => {
     await startEngines(2);
-    const { digest } = await runAndMigrate(1, { restMs: 60_000 });
+    const { digest } = await runAndMigrate(1, { minBenefitMs: 60_000 });
     expect(digest).toBe(expected().digest);
     expect(group.journal.every(({ attempt }) => attempt === 1)).toBe(true);
   });
--- a/packages/calls/src/answer_test.ts
+++ b/packages/calls/src/answer_test.ts
@@ -70,7 +70,7 @@
   return { type: "cancelled", attempt, takenOver, reason: "test" };
 }
 
-/** Grants a preferred engine for each stage, else the first not avoided one. */
+/** Grants a preferred engine for each stage, else the first allowed one. */
 function createFirstFitRouter(
   preferred: string[][],
   observeToken: () => void,
