--- a/packages/gateway/src/backends/failure_detector_test.ts
+++ b/packages/gateway/src/backends/failure_detector_test.ts
@@ -9,25 +9,25 @@
 });
 
 function setUp(probe: (id: string) => boolean | null) {
-  const ending = new AbortController();
+  const controller = new AbortController();
   const probed: string[] = [];
   const detector = createFailureDetector({
-    signal: ending.signal,
+    signal: controller.signal,
     async probe(id) {
       probed.push(id);
       return probe(id);
     },
   });
-  return { detector, probed, end: () => ending.abort() };
+  return { detector, probed, end: () => controller.abort() };
 }
 
-describe("a backend server that was silent", () => {
-  it("is left alone until it answers a probe", async () => {
-    // A stage goes dark. Each time its suspicion ran out by itself, a batch of
-    // answers was sent to it and stood still for seconds.
+describe("backend server that failed to answer", () => {
+  it("gets no requests until it answers a probe", async () => {
+    // A stage stops answering. If its suspicion expired by time, a batch of
+    // answers would be sent to it each time and stall for seconds.
     let works = false;
     const { detector, end } = setUp(() => works);
-    detector.away("e", "silent");
+    detector.reportFailure("e", "silent");
     await vi.advanceTimersByTimeAsync(20_000);
     expect(detector.isAvoided("e")).toBe(true);
     works = true;
@@ -36,53 +36,53 @@
     end();
   });
 
-  it("is gone after two probes without an answer, not before", async () => {
-    // The planner moved engines into the place of one that had only been
-    // slow once: layers that they gave up were missing in other pipelines.
+  it("counts as dead after two missed probes, not before", async () => {
+    // An engine is slow once. If the planner replaced it at once, the layers
+    // that its replacements release would be missing in other pipelines.
     const { detector, probed, end } = setUp(() => false);
-    detector.away("e", "silent");
+    detector.reportFailure("e", "silent");
     await vi.advanceTimersByTimeAsync(0);
-    expect(detector.isGone("e")).toBe(false);
+    expect(detector.isDead("e")).toBe(false);
     await vi.advanceTimersByTimeAsync(200);
     expect(probed.length).toBe(2);
-    expect(detector.isGone("e")).toBe(false);
+    expect(detector.isDead("e")).toBe(false);
     await vi.advanceTimersByTimeAsync(400);
-    expect(detector.isGone("e")).toBe(true);
+    expect(detector.isDead("e")).toBe(true);
     end();
   });
 
-  it("is gone at once when its address refuses connections", () => {
+  it("counts as dead at once when its address refuses connections", () => {
     const { detector, end } = setUp(() => false);
-    detector.away("e", "ended");
-    expect(detector.isGone("e")).toBe(true);
+    detector.reportFailure("e", "ended");
+    expect(detector.isDead("e")).toBe(true);
     end();
   });
 
-  it("is trusted when it starts anew", () => {
+  it("gets requests after a restart", () => {
     const { detector, end } = setUp(() => false);
-    detector.away("e", "ended");
-    detector.worked("e");
+    detector.reportFailure("e", "ended");
+    detector.reportSuccess("e");
     expect(detector.isAvoided("e")).toBe(false);
-    expect(detector.isGone("e")).toBe(false);
+    expect(detector.isDead("e")).toBe(false);
     end();
   });
 });
 
-it("a server that refused is kept away from for a moment only", () => {
+it("a server that refused a request is avoided for less than 300 ms", () => {
   const { detector, end } = setUp(() => true);
-  detector.refused("e");
+  detector.reportRefusal("e");
   expect(detector.isAvoided("e")).toBe(true);
-  expect(detector.isGone("e")).toBe(false);
+  expect(detector.isDead("e")).toBe(false);
   vi.advanceTimersByTime(300);
   expect(detector.isAvoided("e")).toBe(false);
   end();
 });
 
-it("a server without probes is tried again after a longer time each", async () => {
+it("a server without probes gets requests after an exponential backoff", async () => {
   const { detector, end } = setUp(() => null);
   const waits: number[] = [];
   for (let failure = 0; failure < 5; failure += 1) {
-    detector.away("p", "silent");
+    detector.reportFailure("p", "silent");
     await vi.advanceTimersByTimeAsync(0);
     let waited = 0;
     while (detector.isAvoided("p")) {
@@ -92,6 +92,6 @@
     waits.push(waited);
   }
   expect(waits).toEqual([800, 1_600, 3_200, 6_400, 6_400]);
-  expect(detector.isGone("p")).toBe(false);
+  expect(detector.isDead("p")).toBe(false);
   end();
 });
--- /dev/null
+++ b/packages/gateway/src/placement/placement_leases_test.ts
@@ -0,0 +1,106 @@
+import { createMemoryStore } from "@rosemarypin/fakes";
+import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
+import { startPresence } from "../following/mod.ts";
+import { createPlacementLeases } from "./placement_leases.ts";
+
+beforeEach(() => {
+  vi.useFakeTimers();
+});
+afterEach(() => {
+  vi.useRealTimers();
+});
+
+/** Three instances, each the only one of its failure domain. */
+function setUp() {
+  const memory = createMemoryStore();
+  const start = (instance: string, failureDomain: string) => {
+    const { store, faults } = memory.client();
+    const { signal } = new AbortController();
+    const presence = startPresence({
+      store,
+      instance,
+      failureDomain,
+      peer: null,
+      signal,
+    });
+    const right = createPlacementLeases({
+      store,
+      instance,
+      failureDomain,
+      presence,
+      storeOutageMs: () => 0,
+    });
+    const domains = ["a", "b", "c"];
+    const orderableDomains = () =>
+      domains.filter((name) => right.fencingNumberFor(name) !== null);
+    return { presence, right, orderableDomains, faults };
+  };
+  return [start("a-1", "a"), start("b-1", "b"), start("c-1", "c")] as const;
+}
+
+type Instances = ReturnType<typeof setUp>;
+
+/** Milliseconds until another instance holds the lease of domain b. */
+async function msUntilTakenOver([first, , third]: Instances): Promise<number> {
+  for (let elapsedMs = 0; elapsedMs < 30_000; elapsedMs += 50) {
+    const heldDomains = [
+      ...first.orderableDomains(),
+      ...third.orderableDomains(),
+    ];
+    if (heldDomains.includes("b")) return elapsedMs;
+    await vi.advanceTimersByTimeAsync(50);
+  }
+  return Number.POSITIVE_INFINITY;
+}
+
+async function settle(instances: Instances): Promise<void> {
+  for (let at = 0; at < 100; at += 1) {
+    for (const { orderableDomains } of instances) orderableDomains();
+    await vi.advanceTimersByTimeAsync(50);
+  }
+  expect(instances.map(({ orderableDomains }) => orderableDomains())).toEqual([
+    ["a"],
+    ["b"],
+    ["c"],
+  ]);
+}
+
+describe("placement leases", () => {
+  it("are taken over within 2.5 s when a domain's only instance stops", async () => {
+    // The only instance of a domain stops for an update and restarts 8 s later.
+    // If no other instance took over its lease, layers of engines that crash
+    // in between would stay unserved until the restart.
+    const instances = setUp();
+    await settle(instances);
+    const [, stopping] = instances;
+    void stopping.presence.leave();
+    void stopping.right.release();
+    expect(await msUntilTakenOver(instances)).toBeLessThanOrEqual(2_500);
+  });
+
+  it("are taken over within 12 s when a domain's only instance crashes", async () => {
+    // The instance's machine is lost, so the lease expires without a release.
+    const instances = setUp();
+    await settle(instances);
+    const [, dead] = instances;
+    // From here on, none of its writes reach the store.
+    dead.faults.down = true;
+    expect(await msUntilTakenOver(instances)).toBeLessThanOrEqual(12_000);
+  });
+});
+
+describe("presence of an instance whose store calls fail", () => {
+  it("keeps it among the users of its domain's engines for 10 s", async () => {
+    // The store refuses one instance for 8 s while it continues to serve. If
+    // the others removed it after 5 s, they would take its domain's engines
+    // for idle and overload them with their own answers.
+    const instances = setUp();
+    await settle(instances);
+    const [first, refused] = instances;
+    refused.faults.down = true;
+    await vi.advanceTimersByTimeAsync(8_000);
+    expect(first.presence.possibleSendersOf("b")).toEqual(["b-1"]);
+    await vi.advanceTimersByTimeAsync(8_000);
+    expect(first.presence.possibleSendersOf("b")).toEqual([]);
+  });
+});
