--- a/packages/calls/src/answer_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -1,4 +1,4 @@
-/** What an answer's attempts import, and what that teaches of the links. */
+/** Plans KV cache imports of an attempt and records their transfer speeds. */
 import type { EngineFleet, EngineSnapshot } from "@rosemarypin/backends";
 import type { AttemptRequest, EngineEvent, Stage } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
@@ -7,7 +7,7 @@
   cacheBytesOf,
   chooseImports,
   linkEndOf,
-} from "./answer_import_choice.ts";
+} from "./answer_cache_import_plan.ts";
 import type { Link, LinkSpeeds } from "./answer_link_speeds.ts";
 import type { Progress } from "./answer_progress.ts";
 
@@ -19,25 +19,32 @@
   readonly links: LinkSpeeds;
 }
 
-/** Adds to an attempt where its stages import their KV cache from. */
-export function addImports(
+/** Returns the attempt with the KV cache source of each importing stage. */
+export function addCacheImports(
   attempt: AttemptRequest,
   { progress, fleet, links }: ImportContext,
 ): AttemptRequest {
   const { stages } = attempt;
-  const kept = new Set(
+  const enginesWithCache = new Set(
     stages.flatMap(({ engine, keptPositions }) =>
       keptPositions === undefined ? [] : [engine],
     ),
   );
-  // The usual case costs no look at the fleet.
-  if (kept.size === stages.length || progress.kept.size === 0) return attempt;
-  const engines = byName(fleet);
+  // Common case, without a read of the fleet: nothing to import.
+  if (enginesWithCache.size === stages.length || progress.caches.size === 0)
+    return attempt;
+  const engines = enginesById(fleet);
   const holders = findHolders(progress, { stages, engines });
   if (holders.length === 0) return attempt;
   const positions = countPositions(attempt);
-  const all = { kept, holders, engines, positions, links };
-  const sources = chooseImports(stages, all);
+  const importOptions = {
+    enginesWithCache,
+    holders,
+    engines,
+    positions,
+    links,
+  };
+  const sources = chooseImports(stages, importOptions);
   if (sources.size === 0) return attempt;
   return {
     ...attempt,
@@ -49,7 +56,7 @@
   };
 }
 
-/** Engines that are no stage of the attempt and still have their cache. */
+/** Engines that hold KV cache of the answer but are no stage of the attempt. */
 function findHolders(
   progress: Progress,
   options: {
@@ -57,11 +64,11 @@
     readonly engines: ReadonlyMap<string, EngineSnapshot>;
   },
 ): CacheHolder[] {
-  const names = new Set(options.stages.map(({ engine }) => engine));
-  return [...progress.kept].flatMap(([name, { layers, incarnation }]) => {
+  const stageEngines = new Set(options.stages.map(({ engine }) => engine));
+  return [...progress.caches].flatMap(([name, { layers, incarnation }]) => {
     const engine = options.engines.get(name);
-    if (!engine || names.has(name)) return [];
-    // A restarted engine's memory is empty.
+    if (!engine || stageEngines.has(name)) return [];
+    // A restart has emptied the engine's memory.
     if (engine.state?.incarnation !== incarnation) return [];
     return [{ engine, layers }];
   });
@@ -71,20 +78,20 @@
   return attempt.promptTokens.length + attempt.deliveredTokens.length - 1;
 }
 
-function byName(
+function enginesById(
   fleet: Pick<EngineFleet, "engines">,
 ): ReadonlyMap<string, EngineSnapshot> {
-  return new Map(fleet.engines().map((known) => [known.settings.id, known]));
+  return new Map(fleet.engines().map((engine) => [engine.settings.id, engine]));
 }
 
-interface RunningImports extends ImportContext {
+interface AttemptImportContext extends ImportContext {
   readonly attempt: AttemptRequest;
 }
 
-/** Takes the measure of a transfer. */
-export function noteImported(
+/** Logs a completed transfer and updates the speed of its link. */
+export function recordImport(
   event: Extract<EngineEvent, { type: "imported" }>,
-  options: RunningImports,
+  options: AttemptImportContext,
 ): void {
   const { attempt } = options;
   const { bytes, durationMs } = event;
@@ -103,19 +110,19 @@
 }
 
 /**
- * Notes that a stage found no cache after `elapsedMs`. The exporter is not
- * asked again, so that the next attempt recomputes. A transfer that ran into
- * its limit was slow: without that as a measure, each later answer would wait
- * for the same link in vain.
+ * Handles a stage that reports, `elapsedMs` after the start of the attempt,
+ * that it could not import its cache. The exporter is dropped as a source, so
+ * that the next attempt recomputes. A transfer that timed out is recorded as a
+ * speed of the link; otherwise later answers would time out on it as well.
  */
-export function noteNoCache(
+export function recordMissingCache(
   stage: Stage,
-  options: RunningImports & { readonly elapsedMs: number },
+  options: AttemptImportContext & { readonly elapsedMs: number },
 ): void {
   const { progress, attempt, elapsedMs } = options;
   const source = stage.importFrom;
   if (!source) return;
-  progress.kept.delete(source.engine);
+  progress.caches.delete(source.engine);
   log.info("cache_import_failed", {
     request: attempt.requestId,
     attempt: attempt.attempt,
@@ -123,7 +130,7 @@
     from: source.engine,
   });
   if (elapsedMs < source.withinMs) return;
-  const holder = byName(options.fleet).get(source.engine);
+  const holder = enginesById(options.fleet).get(source.engine);
   if (!holder) return;
   const positions = countPositions(attempt);
   const bytes = cacheBytesOf(stage, { positions, holder });
@@ -133,7 +140,7 @@
 }
 
 function linkOf(stage: Stage, { fleet }: ImportContext): Link | null {
-  const engines = byName(fleet);
+  const engines = enginesById(fleet);
   const from = engines.get(stage.importFrom?.engine ?? "");
   const to = engines.get(stage.engine);
   return from && to ? { from: linkEndOf(from), to: linkEndOf(to) } : null;
--- a/packages/calls/src/answer_progress.ts
+++ b/packages/calls/src/answer_progress.ts
@@ -1,4 +1,4 @@
-/** What one answer has reached, over all its attempts. */
+/** State of an answer across its attempts. */
 import type {
   AnswerProvenance,
   AnswerRequest,
@@ -8,47 +8,49 @@
   Stage,
 } from "@rosemarypin/schemas";
 
-/** KV cache of the answer's delivered tokens on one engine. */
-interface KeptCache {
+/** KV cache that one engine holds for the delivered tokens. */
+interface EngineCache {
   readonly layers: LayerRange;
   readonly incarnation: number | undefined;
 }
 
+/** Mutable state of an answer, updated by each attempt. */
 export interface Progress {
-  readonly delivered: string[];
+  readonly deliveredTokens: string[];
   digest: string;
   version: ModelVersion | null;
   noteNumber: number;
-  attempt: number;
+  attemptNumber: number;
   /** Attempts since the last new token. */
-  fruitless: number;
-  /** Whether an engine may have run any of it. */
-  started: boolean;
-  /** When the loss of a stage was seen, until the next token. */
-  lostAt: number | null;
-  readonly avoid: Set<string>;
-  /** Engines that still have the KV cache, by name. */
-  readonly kept: Map<string, KeptCache>;
+  attemptsSinceToken: number;
+  /** Whether an engine may have run part of the answer. */
+  mayHaveRun: boolean;
+  /** Time at which a stage was found lost; reset by the next token. */
+  stageLostAt: number | null;
+  /** Engines that failed this answer, by name. */
+  readonly avoidedEngines: Set<string>;
+  /** KV caches of the answer, by engine name. */
+  readonly caches: Map<string, EngineCache>;
 }
 
-/** An answer of which nothing ran yet. */
-export function emptyProgress(): Progress {
+/** Creates the state of an answer that has not started. */
+export function createProgress(): Progress {
   return {
-    delivered: [],
+    deliveredTokens: [],
     digest: "",
     version: null,
     noteNumber: 0,
-    attempt: 0,
-    fruitless: 0,
-    started: false,
-    lostAt: null,
-    avoid: new Set(),
-    kept: new Map(),
+    attemptNumber: 0,
+    attemptsSinceToken: 0,
+    mayHaveRun: false,
+    stageLostAt: null,
+    avoidedEngines: new Set(),
+    caches: new Map(),
   };
 }
 
-/** The next attempt, which counts on the KV caches that are still there. */
-export function describeAttempt(
+/** Builds the request of the next attempt, which reuses the KV caches. */
+export function buildAttemptRequest(
   request: AnswerRequest,
   options: {
     readonly progress: Progress;
@@ -57,11 +59,12 @@
   },
 ): AttemptRequest {
   const { progress, stages, incarnations } = options;
-  const positions = request.promptTokens.length + progress.delivered.length - 1;
+  const positions =
+    request.promptTokens.length + progress.deliveredTokens.length - 1;
   return {
     requestId: request.requestId,
     organisation: request.organisation,
-    attempt: progress.attempt,
+    attempt: progress.attemptNumber,
     model: request.model,
     version: progress.version?.version ?? "",
     adapter: request.adapter,
@@ -74,7 +77,7 @@
         : {}),
     })),
     promptTokens: [...request.promptTokens],
-    deliveredTokens: [...progress.delivered],
+    deliveredTokens: [...progress.deliveredTokens],
     maxTokens: request.maxTokens,
     priority: request.priority,
   };
@@ -87,9 +90,9 @@
     readonly incarnations: ReadonlyMap<string, number>;
   },
 ): boolean {
-  const kept = options.progress.kept.get(stage.engine);
-  if (!kept) return false;
-  const { layers, incarnation } = kept;
+  const cache = options.progress.caches.get(stage.engine);
+  if (!cache) return false;
+  const { layers, incarnation } = cache;
   return (
     layers.from === stage.layers.from &&
     layers.to === stage.layers.to &&
@@ -98,47 +101,47 @@
 }
 
 /**
- * Notes which engines have the KV cache of all delivered tokens. A token
- * shows that all stages had it. Without one, only stages that the attempt
- * did not make run earlier positions again are sure to have it still; an
- * import may not have come to its end.
+ * Updates the KV caches after an attempt. An attempt that delivered a token
+ * proves that all its stages have the cache, and makes other caches stale.
+ * Otherwise a stage still has its cache only if neither it nor a later stage
+ * had to recompute or import: an import may be incomplete.
  */
-export function rememberCaches(
+export function updateCaches(
   progress: Progress,
   options: {
     readonly attempt: AttemptRequest;
-    readonly gaveToken: boolean;
+    readonly hasNewToken: boolean;
     readonly incarnations: ReadonlyMap<string, number>;
   },
 ): void {
-  const { attempt, gaveToken, incarnations } = options;
+  const { attempt, hasNewToken, incarnations } = options;
   const { stages } = attempt;
   stages.forEach(({ engine, layers, keptPositions, importFrom }, index) => {
-    const later = stages.slice(index);
-    const untouched =
+    const followingStages = stages.slice(index);
+    const isCacheIntact =
       keptPositions !== undefined &&
       !importFrom &&
-      later.every((stage) => stage.keptPositions !== undefined);
-    if (!gaveToken && !untouched) {
-      progress.kept.delete(engine);
+      followingStages.every((stage) => stage.keptPositions !== undefined);
+    if (!hasNewToken && !isCacheIntact) {
+      progress.caches.delete(engine);
       return;
     }
     const incarnation = incarnations.get(engine);
-    progress.kept.set(engine, { layers, incarnation });
+    progress.caches.set(engine, { layers, incarnation });
   });
-  if (!gaveToken) return;
-  const names = new Set(stages.map(({ engine }) => engine));
-  for (const engine of progress.kept.keys()) {
-    if (!names.has(engine)) progress.kept.delete(engine);
+  if (!hasNewToken) return;
+  const stageEngines = new Set(stages.map(({ engine }) => engine));
+  for (const engine of progress.caches.keys()) {
+    if (!stageEngines.has(engine)) progress.caches.delete(engine);
   }
 }
 
-/** Facts about the whole answer. */
-export function provenanceOf(progress: Progress): AnswerProvenance {
+/** Provenance reported at the end of the answer. */
+export function toProvenance(progress: Progress): AnswerProvenance {
   return {
     version: progress.version?.version ?? "",
     noteNumber: progress.noteNumber,
     digest: progress.digest,
-    attempts: progress.attempt,
+    attempts: progress.attemptNumber,
   };
 }
