--- a/packages/calls/src/single_call.ts
+++ b/packages/calls/src/at_most_once_call.ts
@@ -4,7 +4,7 @@
 import { badCall, type CallFailure, notRun } from "./call_failure.ts";
 import { isExpiredKey } from "./claim_key.ts";
 import type { Claim, ClaimRequest, ClaimResult } from "./claim_store.ts";
-import { followClaim } from "./second_call.ts";
+import { followClaim } from "./duplicate_call.ts";
 import {
   answered,
   failed,
@@ -14,7 +14,7 @@
 } from "./service_context.ts";
 import { logClaimFailure, logServerFailure } from "./service_log.ts";
 import { fingerprintOf, refuseByNote } from "./service_rules.ts";
-import { findByLookup, keyExpired, mayHaveRun } from "./unknown_call.ts";
+import { findByLookup, keyExpired, mayHaveRun } from "./unknown_outcome.ts";
 
 const RETRY_SECONDS = 1;
 /** A claim that others release while it is followed is tried again. */
--- a/packages/calls/src/single_call_test.ts
+++ b/packages/calls/src/at_most_once_call_test.ts
@@ -11,8 +11,8 @@
 } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { createClaimRegistry } from "./claim_registry.ts";
-import { createEndRecorder } from "./end_recorder.ts";
-import { createRecordClaims } from "./record_claims.ts";
+import { createRecordClaims } from "./object_claim_store.ts";
+import { createEndRecorder } from "./result_recorder.ts";
 import { createServiceCaller } from "./service_call.ts";
 import type { ServiceCallResult } from "./service_context.ts";
 
--- a/packages/calls/src/claim_sweeper_test.ts
+++ b/packages/calls/src/claim_sweeper_test.ts
@@ -1,7 +1,7 @@
 import { createMemoryStore } from "@rosemarypin/fakes";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { createClaimSweeper } from "./claim_sweeper.ts";
-import { createRecordClaims } from "./record_claims.ts";
+import { createRecordClaims } from "./object_claim_store.ts";
 
 const HOUR_MS = 3_600_000;
 
--- a/packages/calls/src/second_call.ts
+++ b/packages/calls/src/duplicate_call.ts
@@ -10,7 +10,7 @@
   type ServiceCallContext,
   type ServiceCallResult,
 } from "./service_context.ts";
-import { findByLookup, mayHaveRun, stillRunning } from "./unknown_call.ts";
+import { findByLookup, mayHaveRun, stillRunning } from "./unknown_outcome.ts";
 
 /** How long the owner may hold one question. */
 const LONGEST_WAIT_MS = 1_000;
--- a/packages/calls/src/record_claims.ts
+++ b/packages/calls/src/object_claim_store.ts
@@ -19,7 +19,7 @@
   ClaimResult,
   ClaimStore,
 } from "./claim_store.ts";
-import { createOutageGate } from "./outage_gate.ts";
+import { createOutageGate } from "./claim_store_breaker.ts";
 
 const WRITE_TRIES = 3;
 /** A write without a reply is given up, and written again, after this. */
--- a/packages/calls/src/outcome_table_test.ts
+++ b/packages/calls/src/outcome_table_test.ts
@@ -5,8 +5,8 @@
 import { emptyCatalogue, type ServiceSettings } from "@rosemarypin/schemas";
 import { afterEach, describe, expect, it } from "vitest";
 import { createClaimRegistry } from "./claim_registry.ts";
-import { createEndRecorder } from "./end_recorder.ts";
-import { createRecordClaims } from "./record_claims.ts";
+import { createRecordClaims } from "./object_claim_store.ts";
+import { createEndRecorder } from "./result_recorder.ts";
 import { createServiceCaller } from "./service_call.ts";
 import type { ServiceCallResult } from "./service_context.ts";
 
--- a/packages/calls/src/end_recorder_test.ts
+++ b/packages/calls/src/result_recorder_test.ts
@@ -1,7 +1,7 @@
 import type { ClaimEnd } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { Claim } from "./claim_store.ts";
-import { createEndRecorder } from "./end_recorder.ts";
+import { createEndRecorder } from "./result_recorder.ts";
 
 const END = { kind: "unknown", reason: "reset" } as const;
 
--- a/packages/calls/src/service_call.ts
+++ b/packages/calls/src/service_call.ts
@@ -1,5 +1,6 @@
 /** Runs one call of a plain service. */
 import { orderServers } from "@rosemarypin/routing";
+import { runOnce } from "./at_most_once_call.ts";
 import { badCall, type CallFailure } from "./call_failure.ts";
 import { runIdempotent } from "./idempotent_call.ts";
 import { createRetryBudget, type RetryBudget } from "./retry_budget.ts";
@@ -11,7 +12,6 @@
   type ServiceCallResult,
 } from "./service_context.ts";
 import { findRule, refuseByNote } from "./service_rules.ts";
-import { runOnce } from "./single_call.ts";
 
 /** Runs a call: freely if it is idempotent, else at most once. */
 export function createServiceCaller(dependencies: ServiceCallDependencies) {
--- a/packages/calls/src/service_context.ts
+++ b/packages/calls/src/service_context.ts
@@ -11,7 +11,7 @@
 import type { ClaimOwners } from "./claim_owners.ts";
 import type { ClaimRegistry } from "./claim_registry.ts";
 import type { ClaimStore } from "./claim_store.ts";
-import type { EndRecorder } from "./end_recorder.ts";
+import type { EndRecorder } from "./result_recorder.ts";
 import type { RetryBudget } from "./retry_budget.ts";
 
 /** A call as the callers' interface hands it over. */
