--- a/packages/calls/src/at_most_once_call.ts
+++ b/packages/calls/src/at_most_once_call.ts
@@ -1,10 +1,13 @@
-/** A call that must not be repeated: claimed durably, then sent once. */
+/**
+ * Calls that are not idempotent: each is claimed durably by its key and sent
+ * at most once.
+ */
 import type { ServiceAnswer } from "@rosemarypin/backends";
 import type { ClaimState } from "@rosemarypin/schemas";
 import { badCall, type CallFailure, notRun } from "./call_failure.ts";
 import { isExpiredKey } from "./claim_key.ts";
 import type { Claim, ClaimRequest, ClaimResult } from "./claim_store.ts";
-import { followClaim } from "./duplicate_call.ts";
+import { resolveExistingClaim } from "./duplicate_call.ts";
 import {
   answered,
   failed,
@@ -13,17 +16,17 @@
   type ServiceCallResult,
 } from "./service_context.ts";
 import { logClaimFailure, logServerFailure } from "./service_log.ts";
-import { fingerprintOf, refuseByNote } from "./service_rules.ts";
-import { findByLookup, keyExpired, mayHaveRun } from "./unknown_outcome.ts";
+import { checkReleaseNote, fingerprintOf } from "./service_rules.ts";
+import { keyExpired, lookUpAnswer, mayHaveRun } from "./unknown_outcome.ts";
 
-const RETRY_SECONDS = 1;
-/** A claim that others release while it is followed is tried again. */
-const LARGEST_TURNS = 4;
-/** Larger answers are not kept: the store's objects end at a megabyte. */
-const LARGEST_KEPT_ANSWER = 512 * 1024;
+const RETRY_AFTER_SECONDS = 1;
+/** Limit of attempts to take over a claim that other calls release. */
+const MAX_CLAIM_ATTEMPTS = 4;
+/** Larger answers are not recorded: store objects are limited to 1 MB. */
+const MAX_RECORDED_ANSWER_BYTES = 512 * 1024;
 
-/** Claims the key, then sends the call to one server. */
-export async function runOnce(
+/** Claims the key, then sends the call. */
+export async function runAtMostOnce(
   call: ServiceCall,
   context: ServiceCallContext,
 ): Promise<ServiceCallResult> {
@@ -45,36 +48,36 @@
   }
 }
 
-interface SingleCall {
+interface ClaimContext {
   readonly context: ServiceCallContext;
   readonly request: ClaimRequest;
 }
 
 async function claimAndSend(
   call: ServiceCall,
-  { context, request }: SingleCall,
+  { context, request }: ClaimContext,
 ): Promise<ServiceCallResult> {
   const { claims } = context;
   let result = await claims.claim(request);
-  for (let turns = 0; turns < LARGEST_TURNS; turns++) {
+  for (let attempts = 0; attempts < MAX_CLAIM_ATTEMPTS; attempts++) {
     if (result.kind !== "taken") break;
-    const followed = await followClaim(call, {
+    const resolved = await resolveExistingClaim(call, {
       context,
       request,
       claim: result.claim,
     });
-    if (followed.kind === "ended") {
+    if (resolved.kind === "ended") {
       const result = "followed";
       context.metrics?.claims.inc({ service: call.service, result });
-      return followed.result;
+      return resolved.result;
     }
-    result = await claims.reuse(request, followed.neverSent);
+    result = await claims.reuse(request, resolved.neverSent);
   }
   const { kind } = result;
   context.metrics?.claims.inc({ service: call.service, result: kind });
   if (result.kind === "taken") return failed(mayHaveRun());
-  if (result.kind === "unavailable") return refuse(call, result);
-  const refusal = await refuseBeforeSending(call, context);
+  if (result.kind === "unavailable") return refuseUnclaimed(call, result);
+  const refusal = await recheckBeforeSending(call, context);
   if (refusal) {
     release(result.claim, { call, context });
     return failed(refusal);
@@ -82,8 +85,8 @@
   return send(call, { context, claim: result.claim });
 }
 
-/** In an outage nothing can be claimed, so nothing is sent. */
-function refuse(
+/** Without a durable claim the call is not sent. */
+function refuseUnclaimed(
   call: ServiceCall,
   result: Extract<ClaimResult, { kind: "unavailable" }>,
 ): ServiceCallResult {
@@ -97,40 +100,40 @@
 }
 
 /**
- * Looks again at what may have changed while the claim was written, or while
- * this process was frozen.
+ * Repeats the checks whose result may have changed while the claim was written
+ * or while this process was frozen.
  *
- * An expired key shows here when the process was frozen between its first
- * look and the claim: the claim of an earlier run may have been removed by
- * then. The claim was made before this look, and claims are removed only
- * hours after keys expire, so a key that is still good here had its earlier
- * claim in place and would have met it.
+ * The key may have expired if the process was frozen between the first check
+ * and the claim; the claim of an earlier run may have been removed by then.
+ * Claims are removed only hours after their keys expire. So if the key is
+ * still valid here, after the claim, an earlier claim was still stored when
+ * this one was written and would have conflicted with it.
  */
-async function refuseBeforeSending(
+async function recheckBeforeSending(
   call: ServiceCall,
   context: ServiceCallContext,
 ): Promise<CallFailure | null> {
-  const refusal = await refuseByNote(call.service, context.keeper);
+  const refusal = await checkReleaseNote(call.service, context.keeper);
   if (refusal) return refusal;
   if (isExpiredKey(call.idempotencyKey ?? "")) return keyExpired();
   if (Date.now() >= call.deadlineAt) {
     return notRun("deadline", {
       message: "the deadline passed before the call was sent",
-      retryAfterSeconds: RETRY_SECONDS,
+      retryAfterSeconds: RETRY_AFTER_SECONDS,
     });
   }
   return null;
 }
 
-interface Claimed {
+interface ClaimedCall {
   readonly context: ServiceCallContext;
   readonly claim: Claim;
 }
 
-/** Goes on to another server only while none can have started the call. */
+/** Tries another server only if the previous ones cannot have run the call. */
 async function send(
   call: ServiceCall,
-  { context, claim }: Claimed,
+  { context, claim }: ClaimedCall,
 ): Promise<ServiceCallResult> {
   const { fleet, service } = context;
   for (const server of context.servers()) {
@@ -142,36 +145,44 @@
       freshConnection: true,
     });
     if (result.kind === "answer") {
-      settle(claim, { call, context, state: storedAnswer(result.answer) });
+      settle(claim, { call, context, state: answeredState(result.answer) });
       return answered(result.answer, { repeated: false });
     }
     logServerFailure(call, { server: server.id, result });
     if (result.kind === "broken") {
-      return endUnknown(call, { context, claim, reason: result.detail });
+      return resolveUnknownOutcome(call, {
+        context,
+        claim,
+        reason: result.detail,
+      });
     }
   }
   release(claim, { call, context });
   return failed(
     notRun("no_server", {
       message: `no server of '${call.service}' took the call; ask again`,
-      retryAfterSeconds: RETRY_SECONDS,
+      retryAfterSeconds: RETRY_AFTER_SECONDS,
     }),
   );
 }
 
-/** The call may have run; a look-up can tell that it did. */
-async function endUnknown(
+/** The call may have run; a look-up can find its answer. */
+async function resolveUnknownOutcome(
   call: ServiceCall,
-  options: Claimed & { readonly reason: string },
+  options: ClaimedCall & { readonly reason: string },
 ): Promise<ServiceCallResult> {
   const { context, claim, reason } = options;
-  const found = await findByLookup(call, context);
-  const state = found ? storedAnswer(found) : unknownState(reason);
+  const lookedUpAnswer = await lookUpAnswer(call, context);
+  const state = lookedUpAnswer
+    ? answeredState(lookedUpAnswer)
+    : unknownState(reason);
   settle(claim, { call, context, state });
-  return found ? answered(found, { repeated: false }) : failed(mayHaveRun());
+  return lookedUpAnswer
+    ? answered(lookedUpAnswer, { repeated: false })
+    : failed(mayHaveRun());
 }
 
-/** Frees the key: this process has not sent the call and will not. */
+/** Frees the key; the call was not sent by this process and will not be. */
 function release(
   claim: Claim,
   options: {
@@ -185,8 +196,9 @@
 }
 
 /**
- * Records the end behind the answer, so that the caller does not wait for
- * it; until it is recorded, second callers get it from this process.
+ * Records the result in the background, so that the caller does not wait for
+ * the store. Until it is recorded, duplicate calls get it from the registry of
+ * this process.
  */
 function settle(
   claim: Claim,
@@ -201,8 +213,8 @@
   context.ends.record(claim, state);
 }
 
-function storedAnswer(answer: ServiceAnswer): ClaimState {
-  if (answer.body.length > LARGEST_KEPT_ANSWER) {
+function answeredState(answer: ServiceAnswer): ClaimState {
+  if (answer.body.length > MAX_RECORDED_ANSWER_BYTES) {
     return unknownState("it was answered, but the answer is too large to keep");
   }
   const { status, contentType } = answer;
--- a/packages/calls/src/at_most_once_call_test.ts
+++ b/packages/calls/src/at_most_once_call_test.ts
@@ -97,7 +97,7 @@
     owners: {
       async ask({ owner, requestId, incarnation }, { waitMs }) {
         const all = [...(options.others?.() ?? []), instance];
-        const target = all.find((other) => other.id === owner);
+        const target = all.find((candidate) => candidate.id === owner);
         if (!target) return { kind: "gone" };
         return target.registry.ask({ requestId, incarnation, waitMs });
       },
@@ -114,8 +114,8 @@
     },
     ends,
     settled: () => ends.finish(600_000),
-    order(requestId: string, order: Partial<typeof anOrder> = {}) {
-      const { key, body, organisation } = { ...anOrder, ...order };
+    order(requestId: string, order: Partial<typeof defaultOrder> = {}) {
+      const { key, body, organisation } = { ...defaultOrder, ...order };
       return call({
         requestId,
         organisation,
@@ -149,16 +149,16 @@
 }
 type Instance = ReturnType<typeof createInstance>;
 
-const anOrder = { key: "order-1", body: "part 7", organisation: "kano" };
+const defaultOrder = { key: "order-1", body: "part 7", organisation: "kano" };
 
-function told(result: ServiceCallResult): string {
+function summaryOf(result: ServiceCallResult): string {
   return result.kind === "answer"
     ? `answer ${result.answer.body}`
     : `${result.failure.outcome} ${result.failure.code}`;
 }
 
-/** A server that answers each call when the test lets it. */
-function createHeldServer() {
+/** A server whose calls the test answers one by one. */
+function createManualServer() {
   const calls: ((result: ServiceResult) => void)[] = [];
   return {
     calls,
@@ -174,47 +174,51 @@
   vi.useRealTimers();
 });
 
-describe("one key on two instances", () => {
-  it("gives the second caller the first answer, though it runs", async () => {
-    // A mechanic's order takes long, the connection breaks, and the dealer's
-    // system sends it again to another instance while the first still runs.
-    // The second caller was told outcome_unknown and rang the depot for
-    // nothing. It now waits for the owner's word.
+describe("a duplicate call", () => {
+  it("waits for the answer of the call that still runs elsewhere", async () => {
+    // The connection breaks during a slow order, and the dealer's system
+    // retries it at another instance while the first call still runs. Without
+    // the wait, the retry would report outcome_unknown for an order that
+    // succeeds.
     const memory = createMemoryStore();
-    const server = createHeldServer();
-    const one = createInstance("one", { memory, send: server.send });
+    const server = createManualServer();
+    const instanceA = createInstance("one", { memory, send: server.send });
     const send = vi.fn(server.send);
-    const two = createInstance("two", { memory, send, others: () => [one] });
-    const first = one.order("r1");
+    const instanceB = createInstance("two", {
+      memory,
+      send,
+      others: () => [instanceA],
+    });
+    const first = instanceA.order("r1");
     await vi.advanceTimersByTimeAsync(1);
-    const second = two.order("r2");
+    const second = instanceB.order("r2");
     await vi.advanceTimersByTimeAsync(2_500);
     server.calls[0]?.(answer("order 1"));
-    expect(told(await first)).toBe("answer order 1");
-    expect(told(await second)).toBe("answer order 1");
+    expect(summaryOf(await first)).toBe("answer order 1");
+    expect(summaryOf(await second)).toBe("answer order 1");
     expect(send).not.toHaveBeenCalled();
   });
 
-  it("refuses a key that was used for another order", async () => {
+  it("fails with key_reused if its request differs from the first", async () => {
     const memory = createMemoryStore();
     const send = async () => answer("order 1");
-    const one = createInstance("one", { memory, send });
-    await one.order("r1");
-    const result = await one.order("r2", { body: "part 8" });
+    const instanceA = createInstance("one", { memory, send });
+    await instanceA.order("r1");
+    const result = await instanceA.order("r2", { body: "part 8" });
     expect(result).toMatchObject({ failure: { status: 422 } });
-    expect(told(result)).toBe("failed key_reused");
+    expect(summaryOf(result)).toBe("failed key_reused");
   });
 
-  it("keeps keys of two organisations apart, whatever they are", async () => {
-    // Two dealers' systems both used ".." as a key. In the store's URL it
-    // was taken as a step up, both met in one object, and the second dealer
-    // was told that its first order had been placed by someone else's key.
+  it("does not match the same key of another organisation", async () => {
+    // Two dealers' systems use ".." as a key. URL normalisation would resolve
+    // it to the parent path, so both claims would be the same object and the
+    // second dealer's first order would be refused as a reused key.
     const memory = createMemoryStore();
     const send = async () => answer("an order");
-    const one = createInstance("one", { memory, send });
-    await one.order("r1", { key: ".." });
-    await one.order("r2", { key: "..", organisation: "lagos" });
-    await one.settled();
+    const instanceA = createInstance("one", { memory, send });
+    await instanceA.order("r1", { key: ".." });
+    await instanceA.order("r2", { key: "..", organisation: "lagos" });
+    await instanceA.settled();
     const keys = memory.objects().map(({ key }) => key);
     expect(keys).toHaveLength(2);
     for (const key of keys) {
@@ -222,238 +226,277 @@
     }
   });
 
-  it("does not free a key while its owner is silent", async () => {
-    // An instance is frozen between claim and sending. Were its key freed
-    // meanwhile, the order would run there and, once the instance goes on,
-    // here as well.
+  it("does not free the key of an owner that does not reply", async () => {
+    // An instance is frozen between claim and sending. If another instance
+    // freed the key, the order would run there, and again when the frozen
+    // instance resumes.
     const memory = createMemoryStore();
-    const server = createHeldServer();
-    const one = createInstance("one", { memory, send: server.send });
+    const server = createManualServer();
+    const instanceA = createInstance("one", { memory, send: server.send });
     const send = vi.fn(async () => answer("a second run"));
-    const two = createInstance("two", { memory, send });
-    void one.order("r1");
+    const instanceB = createInstance("two", { memory, send });
+    void instanceA.order("r1");
     await vi.advanceTimersByTimeAsync(1);
-    expect(told(await two.order("r2"))).toBe("outcome_unknown may_have_run");
+    expect(summaryOf(await instanceB.order("r2"))).toBe(
+      "outcome_unknown may_have_run",
+    );
     expect(send).not.toHaveBeenCalled();
   });
 });
 
-describe("a claim whose write is in doubt", () => {
-  it("sends once when the reply was lost after the write", async () => {
+describe("an uncertain claim write", () => {
+  it("sends the call once if only the reply was lost", async () => {
     const memory = createMemoryStore();
     const send = vi.fn(async () => answer("order 1"));
-    const one = createInstance("one", { memory, send });
-    one.faults.loseReplies = 1;
-    expect(told(await one.order("r1"))).toBe("answer order 1");
+    const instanceA = createInstance("one", { memory, send });
+    instanceA.faults.loseReplies = 1;
+    expect(summaryOf(await instanceA.order("r1"))).toBe("answer order 1");
     expect(send).toHaveBeenCalledTimes(1);
   });
 
-  it("frees a claim that turns up after not_run was told", async () => {
-    // The store loses all replies, so the caller is told not_run; but one of
-    // the writes had its effect. The caller asks again with the same key, as
-    // it was told to, and met a claim that nobody would ever end.
+  it("frees a claim that was stored although not_run was reported", async () => {
+    // The store loses all replies, so the call is reported as not_run, but one
+    // of the writes took effect. The caller retries with the same key and must
+    // not be blocked by the claim of a call that was never sent.
     const memory = createMemoryStore();
     const send = async () => answer("order 1");
-    const one = createInstance("one", { memory, send });
-    const two = createInstance("two", { memory, send, others: () => [one] });
-    one.faults.loseReplies = 3;
-    expect(told(await one.order("r1"))).toBe("not_run claims_unavailable");
+    const instanceA = createInstance("one", { memory, send });
+    const instanceB = createInstance("two", {
+      memory,
+      send,
+      others: () => [instanceA],
+    });
+    instanceA.faults.loseReplies = 3;
+    expect(summaryOf(await instanceA.order("r1"))).toBe(
+      "not_run claims_unavailable",
+    );
     expect(memory.objects()).toHaveLength(1);
-    expect(told(await two.order("r2"))).toBe("answer order 1");
+    expect(summaryOf(await instanceB.order("r2"))).toBe("answer order 1");
   });
 
-  it("refuses at once, as not run, while the store is away", async () => {
+  it("fails fast with not_run while the store is unreachable", async () => {
     const memory = createMemoryStore();
     const send = vi.fn(async () => answer("order 1"));
-    const one = createInstance("one", { memory, send });
-    one.faults.down = true;
+    const instanceA = createInstance("one", { memory, send });
+    instanceA.faults.down = true;
     for (const id of ["r1", "r2", "r3"]) {
-      const result = await one.order(id);
-      expect(told(result)).toBe("not_run claims_unavailable");
+      const result = await instanceA.order(id);
+      expect(summaryOf(result)).toBe("not_run claims_unavailable");
       expect(result).toMatchObject({ failure: { retryAfterSeconds: 1 } });
     }
     expect(memory.counts().write).toBe(2);
-    one.faults.down = false;
+    instanceA.faults.down = false;
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(told(await one.order("r4"))).toBe("answer order 1");
+    expect(summaryOf(await instanceA.order("r4"))).toBe("answer order 1");
     expect(send).toHaveBeenCalledTimes(1);
   });
 });
 
-describe("the end of a call", () => {
-  it("stays unknown when the call broke, and is not sent again", async () => {
+describe("an at-most-once call", () => {
+  it("is not retried and stays unknown after a broken connection", async () => {
     const memory = createMemoryStore();
     const send = vi.fn(async () => broken);
-    const one = createInstance("one", { memory, send });
-    expect(told(await one.order("r1"))).toBe("outcome_unknown may_have_run");
-    expect(told(await one.order("r2"))).toBe("outcome_unknown may_have_run");
+    const instanceA = createInstance("one", { memory, send });
+    expect(summaryOf(await instanceA.order("r1"))).toBe(
+      "outcome_unknown may_have_run",
+    );
+    expect(summaryOf(await instanceA.order("r2"))).toBe(
+      "outcome_unknown may_have_run",
+    );
     expect(send).toHaveBeenCalledTimes(1);
   });
 
-  it("is found by look-up after its owner crashed", async () => {
-    // The instance dies after the booking ran. The caller's next try meets
-    // the claim of a process that is no more; the service knows the booking.
+  it("gets its answer by look-up after the first owner crashed", async () => {
+    // The instance crashes after the booking ran. The caller's retry finds the
+    // claim of a process that no longer exists; the service has the booking.
     const memory = createMemoryStore();
-    const server = createHeldServer();
-    const one = createInstance("one", { memory, send: server.send });
+    const server = createManualServer();
+    const instanceA = createInstance("one", { memory, send: server.send });
     const send = vi.fn(async (request: ServiceRequest) =>
       request.path === "/orders/by-key/order-1"
         ? { ...answer("order 1"), ...found("order 1") }
         : answer("a second run"),
     );
-    const two = createInstance("two", { memory, send, lookup: true });
-    void one.order("r1");
+    const instanceB = createInstance("two", { memory, send, lookup: true });
+    void instanceA.order("r1");
     await vi.advanceTimersByTimeAsync(1);
-    expect(told(await two.order("r2"))).toBe("answer order 1");
-    await two.settled();
+    expect(summaryOf(await instanceB.order("r2"))).toBe("answer order 1");
+    await instanceB.settled();
     expect(memory.objects()[0]?.value).toMatchObject({
       state: { kind: "answered" },
     });
   });
 
-  it("is not decided by a look-up that finds nothing", async () => {
-    // The call's bytes wait in a frozen server. The look-up, answered by
-    // another server, finds nothing; were the key freed, both would run.
+  it("stays unknown if a look-up finds nothing", async () => {
+    // The call is buffered at a frozen server. The look-up goes to another
+    // server and finds nothing; if that freed the key, the order would run
+    // twice.
     const memory = createMemoryStore();
     const send = vi.fn(async (request: ServiceRequest) =>
       request.method === "GET"
         ? { ...answer(""), ...found("none", 404) }
         : broken,
     );
-    const one = createInstance("one", { memory, send, lookup: true });
-    expect(told(await one.order("r1"))).toBe("outcome_unknown may_have_run");
-    expect(told(await one.order("r2"))).toBe("outcome_unknown may_have_run");
+    const instanceA = createInstance("one", { memory, send, lookup: true });
+    expect(summaryOf(await instanceA.order("r1"))).toBe(
+      "outcome_unknown may_have_run",
+    );
+    expect(summaryOf(await instanceA.order("r2"))).toBe(
+      "outcome_unknown may_have_run",
+    );
     const posts = send.mock.calls.filter(([{ method }]) => method === "POST");
     expect(posts).toHaveLength(1);
   });
 
-  it("frees the key when no server took the call", async () => {
+  it("frees its key if no server accepted it", async () => {
     const memory = createMemoryStore();
     const results = [notSent, notSent, answer("order 1")];
     const send = vi.fn(async () => results.shift() ?? broken);
-    const one = createInstance("one", { memory, send });
-    expect(told(await one.order("r1"))).toBe("not_run no_server");
-    await one.settled();
-    expect(told(await one.order("r2"))).toBe("answer order 1");
+    const instanceA = createInstance("one", { memory, send });
+    expect(summaryOf(await instanceA.order("r1"))).toBe("not_run no_server");
+    await instanceA.settled();
+    expect(summaryOf(await instanceA.order("r2"))).toBe("answer order 1");
   });
 
-  it("counts as unknown when sending fails in an unforeseen way", async () => {
-    // A fault of ours is thrown while the call is out. The owner's word must
-    // not be 'never sent': another instance would run the order again.
+  it("counts as possibly run if sending throws", async () => {
+    // An unexpected error is thrown while the call is in flight. If the owner
+    // reported `never_sent`, another instance would run the order again.
     const memory = createMemoryStore();
     const failing = () => Promise.reject(new Error("unforeseen"));
-    const one = createInstance("one", { memory, send: failing });
+    const instanceA = createInstance("one", { memory, send: failing });
     const send = vi.fn(async () => answer("a second run"));
-    const two = createInstance("two", { memory, send, others: () => [one] });
-    await expect(one.order("r1")).rejects.toThrow("unforeseen");
-    expect(told(await two.order("r2"))).toBe("outcome_unknown may_have_run");
+    const instanceB = createInstance("two", {
+      memory,
+      send,
+      others: () => [instanceA],
+    });
+    await expect(instanceA.order("r1")).rejects.toThrow("unforeseen");
+    expect(summaryOf(await instanceB.order("r2"))).toBe(
+      "outcome_unknown may_have_run",
+    );
     expect(send).not.toHaveBeenCalled();
   });
 
-  it("is recorded after an outage that began while it ran", async () => {
+  it("has its result recorded after an outage that began meanwhile", async () => {
     const memory = createMemoryStore();
-    const one = createInstance("one", {
+    const instanceA = createInstance("one", {
       memory,
       async send() {
-        one.faults.down = true;
+        instanceA.faults.down = true;
         return answer("order 1");
       },
     });
-    expect(told(await one.order("r1"))).toBe("answer order 1");
+    expect(summaryOf(await instanceA.order("r1"))).toBe("answer order 1");
     await vi.advanceTimersByTimeAsync(20_000);
-    one.faults.down = false;
+    instanceA.faults.down = false;
     await vi.advanceTimersByTimeAsync(5_000);
-    await one.settled();
-    const two = createInstance("two", { memory, send: async () => broken });
-    expect(told(await two.order("r2"))).toBe("answer order 1");
+    await instanceA.settled();
+    const instanceB = createInstance("two", {
+      memory,
+      send: async () => broken,
+    });
+    expect(summaryOf(await instanceB.order("r2"))).toBe("answer order 1");
   });
 
-  it("does not overwrite what became of the key since", async () => {
-    // The owner released a claim, another instance took the key over and ran
-    // the order, and only then did the owner's record arrive. Had it been
-    // written over the newer one, a third caller would have run it again.
+  it("does not overwrite the result of a later call with its key", async () => {
+    // The owner releases a claim, another instance takes it over and runs the
+    // order, and only then does the owner's write arrive. If it overwrote the
+    // newer record, a third call would run the order again.
     const memory = createMemoryStore();
-    const one = createInstance("one", { memory, send: async () => notSent });
+    const instanceA = createInstance("one", {
+      memory,
+      send: async () => notSent,
+    });
     const send = vi.fn(async () => answer("order 1"));
-    const two = createInstance("two", { memory, send, others: () => [one] });
-    one.faults.delayMs = 100;
-    const first = one.order("r1");
+    const instanceB = createInstance("two", {
+      memory,
+      send,
+      others: () => [instanceA],
+    });
+    instanceA.faults.delayMs = 100;
+    const first = instanceA.order("r1");
     await vi.advanceTimersByTimeAsync(150);
-    expect(told(await first)).toBe("not_run no_server");
-    expect(told(await two.order("r2"))).toBe("answer order 1");
+    expect(summaryOf(await first)).toBe("not_run no_server");
+    expect(summaryOf(await instanceB.order("r2"))).toBe("answer order 1");
     await vi.advanceTimersByTimeAsync(1_000);
-    await Promise.all([one.settled(), two.settled()]);
-    expect(told(await two.order("r3"))).toBe("answer order 1");
+    await Promise.all([instanceA.settled(), instanceB.settled()]);
+    expect(summaryOf(await instanceB.order("r3"))).toBe("answer order 1");
     expect(send).toHaveBeenCalledTimes(1);
   });
 
-  it("is not begun when a recall came while the claim was written", async () => {
+  it("is not sent if a recall arrives while its claim is written", async () => {
     const memory = createMemoryStore();
     const send = vi.fn(async () => answer("order 1"));
-    const one = createInstance("one", { memory, send });
-    one.faults.delayMs = 100;
-    const first = one.order("r1");
-    one.withdraw();
+    const instanceA = createInstance("one", { memory, send });
+    instanceA.faults.delayMs = 100;
+    const first = instanceA.order("r1");
+    instanceA.withdraw();
     await vi.advanceTimersByTimeAsync(100);
-    expect(told(await first)).toBe("failed unknown_service");
+    expect(summaryOf(await first)).toBe("failed unknown_service");
     expect(send).not.toHaveBeenCalled();
   });
 });
 
-describe("keys that carry their time", () => {
+describe("an idempotency key with a creation time", () => {
   const DAY_MS = 86_400_000;
-  const madeNow = () => {
+  const keyCreatedNow = () => {
     const time = Date.now().toString(16).padStart(12, "0");
     return `${time.slice(0, 8)}-${time.slice(8)}-7000-8000-000000000001`;
   };
 
-  it("refuses an expired key, and says that it may have run", async () => {
-    // Claims of old keys are removed. A dealer's system that repeats an order
-    // from its backlog after two days would otherwise place it again.
+  it("is refused with key_expired when it is older than a day", async () => {
+    // Claims of old keys are removed. Without the check, a dealer's system
+    // that retries an order from its backlog after two days would place it
+    // twice.
     const memory = createMemoryStore();
     const send = vi.fn(async () => answer("order 1"));
-    const one = createInstance("one", { memory, send });
-    const key = madeNow();
-    expect(told(await one.order("r1", { key }))).toBe("answer order 1");
+    const instanceA = createInstance("one", { memory, send });
+    const key = keyCreatedNow();
+    expect(summaryOf(await instanceA.order("r1", { key }))).toBe(
+      "answer order 1",
+    );
     vi.setSystemTime(Date.now() + DAY_MS + 1);
-    const result = await one.order("r2", { key });
-    expect(told(result)).toBe("outcome_unknown key_expired");
+    const result = await instanceA.order("r2", { key });
+    expect(summaryOf(result)).toBe("outcome_unknown key_expired");
     expect(send).toHaveBeenCalledTimes(1);
   });
 
-  it("looks again after the claim, for a freeze in between", async () => {
-    // The instance is frozen for days after it found the key good. By then
-    // the claim of an earlier run is removed, and the key looks unused.
+  it("is checked again after the claim, in case of a freeze", async () => {
+    // The instance is frozen for days after its first check of the key. In the
+    // meantime the claim of an earlier run is removed, so the key seems unused.
     const memory = createMemoryStore();
     const send = vi.fn(async () => answer("order 1"));
-    const one = createInstance("one", { memory, send });
-    one.faults.delayMs = 100;
-    const first = one.order("r1", { key: madeNow() });
+    const instanceA = createInstance("one", { memory, send });
+    instanceA.faults.delayMs = 100;
+    const first = instanceA.order("r1", { key: keyCreatedNow() });
     vi.setSystemTime(Date.now() + 3 * DAY_MS);
     await vi.advanceTimersByTimeAsync(100);
-    expect(told(await first)).toBe("outcome_unknown key_expired");
+    expect(summaryOf(await first)).toBe("outcome_unknown key_expired");
     expect(send).not.toHaveBeenCalled();
   });
 });
 
 describe("an idempotent call", () => {
-  it("tries other servers only within the retry budget", async () => {
-    // All servers of a service fail. With a retry for each, the load on them
-    // doubled just then; the budget allows ten and then one in ten calls.
+  it("is retried on other servers only within the retry budget", async () => {
+    // All servers of a service fail. Retrying each call would double the load
+    // on them; the budget allows ten retries and then one per ten calls.
     const memory = createMemoryStore();
     const send = vi.fn(async () => broken);
-    const one = createInstance("one", { memory, send });
+    const instanceA = createInstance("one", { memory, send });
     for (let call = 0; call < 100; call++) {
-      expect(told(await one.readStock())).toBe("failed no_answer");
+      expect(summaryOf(await instanceA.readStock())).toBe("failed no_answer");
     }
     expect(send.mock.calls.length).toBeLessThanOrEqual(100 + 10 + 10);
     expect(send.mock.calls.length).toBeGreaterThan(100);
   });
 
-  it("was not run when no server could be reached", async () => {
+  it("ends as not_run if no server can be reached", async () => {
     const memory = createMemoryStore();
-    const one = createInstance("one", { memory, send: async () => notSent });
-    expect(told(await one.readStock())).toBe("not_run no_server");
+    const instanceA = createInstance("one", {
+      memory,
+      send: async () => notSent,
+    });
+    expect(summaryOf(await instanceA.readStock())).toBe("not_run no_server");
   });
 });
 
--- a/packages/calls/src/call_failure.ts
+++ b/packages/calls/src/call_failure.ts
@@ -1,19 +1,20 @@
-/** Final failures of calls, and the outcome each stands for. */
+/** Final failures of calls, each with the outcome reported to the caller. */
 import type { Outcome } from "@rosemarypin/schemas";
 
-/** Why a call failed for good. */
+/** Why a call failed, as reported to its caller. */
 export interface CallFailure {
   readonly outcome: Outcome;
-  /** A stable word for programs. */
+  /** Stable error code that programs can match. */
   readonly code: string;
-  /** What happened and what to do next. */
+  /** What happened and what the caller can do about it. */
   readonly message: string;
+  /** HTTP status of the reply. */
   readonly status: number;
   readonly retryAfterSeconds?: number;
   readonly noteNumber?: number;
 }
 
-/** Certain: nothing of the call ran. */
+/** The call certainly did not run, so the caller may retry it. */
 export function notRun(
   code: string,
   options: { readonly message: string; readonly retryAfterSeconds: number },
@@ -21,7 +22,7 @@
   return { outcome: "not_run", code, status: 503, ...options };
 }
 
-/** The call is wrong as it stands; the same call would fail again. */
+/** The call is invalid; retrying it unchanged would fail again. */
 export function badCall(
   code: string,
   options: { readonly message: string; readonly status: number },
@@ -29,7 +30,7 @@
   return { outcome: "failed", code, ...options };
 }
 
-/** The call ran, and there will be no answer. */
+/** The call may have run, but no complete answer is available. */
 export function failedRun(
   code: string,
   options: { readonly message: string; readonly retryAfterSeconds?: number },
@@ -37,12 +38,12 @@
   return { outcome: "failed", code, status: 502, ...options };
 }
 
-/** The call may have run; nobody here will repeat it. */
+/** The call may have run; the router does not retry it. */
 export function outcomeUnknown(code: string, message: string): CallFailure {
   return { outcome: "outcome_unknown", code, status: 504, message };
 }
 
-/** A release note withdrew what the call asked for. */
+/** A release note withdrew the service or model that the call needs. */
 export function withdrawnBy(
   noteNumber: number,
   options: { readonly reason: string; readonly what: string },
--- a/packages/calls/src/claim_owners.ts
+++ b/packages/calls/src/claim_owners.ts
@@ -1,16 +1,20 @@
-/** How to ask the process that made a claim what became of the call. */
+/** Queries to the process that made a claim, about the state of its call. */
 import type { ClaimObject, ClaimWord } from "@rosemarypin/schemas";
 
-/** The owner's word, or why there is none. */
+/** The owner's reply, or why there is none. */
 export type OwnerWord =
   | ClaimWord
   /** The process that made the claim has ended. */
   | { readonly kind: "gone" }
-  /** No answer: the owner may be frozen or cut off, and may yet go on. */
+  /**
+   * The owner did not reply. It may be frozen or partitioned and may still
+   * send the call later.
+   */
   | { readonly kind: "silent" };
 
-/** Asks owners, this process itself among them. */
+/** Queries owners of claims, including this process. */
 export interface ClaimOwners {
+  /** Waits up to `waitMs` for a running call to end. */
   ask(
     claim: ClaimObject,
     options: { readonly waitMs: number },
--- a/packages/calls/src/claim_registry.ts
+++ b/packages/calls/src/claim_registry.ts
@@ -1,29 +1,36 @@
-/** What this process knows of the calls it has claimed itself. */
+/** In-memory state of the calls that this process has claimed. */
 import type {
   ClaimQuestion,
   ClaimState,
   ClaimWord,
 } from "@rosemarypin/schemas";
 
-/** Ended calls that are remembered; the oldest are forgotten first. */
-const LARGEST_MEMORY = 1_000;
-/** Bound of the answers among them; a few large ones would fill the heap. */
-const LARGEST_MEMORY_BYTES = 8 * 1024 * 1024;
+/** Limit of entries; the oldest ended calls are evicted first. */
+const MAX_REMEMBERED_CALLS = 1_000;
+/** Limit of all remembered answers; a few large ones could fill the heap. */
+const MAX_REMEMBERED_BYTES = 8 * 1024 * 1024;
 
-const NEVER_SENT: ClaimWord = { kind: "never_sent" };
+const NEVER_SENT_STATUS: ClaimWord = { kind: "never_sent" };
 
-/** The owner's word on its claims, for second callers anywhere. */
+/** State of this process's claims, for duplicate calls on any instance. */
 export interface ClaimRegistry {
-  /** Called before the claim is first written. */
+  /** Adds a call; must be called before its claim is first written. */
   begin(requestId: string): void;
-  /** From now on the call may have run. */
+  /** Marks the call as possibly running; called before it is sent. */
   markSending(requestId: string): void;
-  /** The call did not run and, from now on, never will under this claim. */
+  /** Ends the call as one that was not and will not be sent. */
   endUnsent(requestId: string): void;
+  /** Ends the call with the state that its claim gets. */
   endSent(requestId: string, state: ClaimState): void;
-  /** The call has ended, by whatever way; an earlier word stays. */
+  /**
+   * Ends the call if it still counts as running, for example after an
+   * exception: as unknown if it may have been sent, else as never sent.
+   */
   close(requestId: string): void;
-  /** Answers a second caller; waits for a call that still runs. */
+  /**
+   * Returns the state of a call. Waits up to `waitMs` while the call runs.
+   * Calls of another incarnation and evicted calls are `forgotten`.
+   */
   ask(question: ClaimQuestion): Promise<ClaimWord>;
 }
 
@@ -33,40 +40,41 @@
   readonly waiters: Set<() => void>;
 }
 
-/** Creates the memory of the process that started at `incarnation`. */
+/** Creates the registry of the process that started at `incarnation`. */
 export function createClaimRegistry(options: {
   readonly incarnation: number;
 }): ClaimRegistry {
   const entries = new Map<string, Entry>();
-  let bytes = 0;
+  let rememberedBytes = 0;
 
   function end(requestId: string, word: ClaimWord): void {
     const entry = entries.get(requestId);
     if (entry?.word.kind !== "running") return;
     entry.word = word;
-    bytes += sizeOf(word);
-    for (const wake of entry.waiters) wake();
+    rememberedBytes += sizeOf(word);
+    for (const wakeWaiter of entry.waiters) wakeWaiter();
     forgetOldest();
   }
 
   function forgetOldest(): void {
     for (const [requestId, { word }] of entries) {
       const isFull =
-        entries.size > LARGEST_MEMORY || bytes > LARGEST_MEMORY_BYTES;
+        entries.size > MAX_REMEMBERED_CALLS ||
+        rememberedBytes > MAX_REMEMBERED_BYTES;
       if (!isFull) return;
       if (word.kind === "running") continue;
       entries.delete(requestId);
-      bytes -= sizeOf(word);
+      rememberedBytes -= sizeOf(word);
     }
   }
 
   function waitForEnd(entry: Entry, waitMs: number): Promise<void> {
     return new Promise((resolve) => {
-      const timer = setTimeout(wake, waitMs);
-      entry.waiters.add(wake);
-      function wake(): void {
+      const timer = setTimeout(wakeWaiter, waitMs);
+      entry.waiters.add(wakeWaiter);
+      function wakeWaiter(): void {
         clearTimeout(timer);
-        entry.waiters.delete(wake);
+        entry.waiters.delete(wakeWaiter);
         resolve();
       }
     });
@@ -84,13 +92,13 @@
       const entry = entries.get(requestId);
       if (entry) entry.sending = true;
     },
-    endUnsent: (requestId) => end(requestId, NEVER_SENT),
+    endUnsent: (requestId) => end(requestId, NEVER_SENT_STATUS),
     endSent: (requestId, state) => end(requestId, { kind: "settled", state }),
     close(requestId) {
       const sending = entries.get(requestId)?.sending ?? false;
       const reason = "the instance failed while the call ran";
       const state: ClaimState = { kind: "unknown", reason };
-      end(requestId, sending ? { kind: "settled", state } : NEVER_SENT);
+      end(requestId, sending ? { kind: "settled", state } : NEVER_SENT_STATUS);
     },
     async ask({ incarnation, requestId, waitMs }) {
       const entry = entries.get(requestId);
--- a/packages/calls/src/claim_registry_test.ts
+++ b/packages/calls/src/claim_registry_test.ts
@@ -8,8 +8,8 @@
   return { kind: "answered", status: 200, contentType: "x", body } as const;
 }
 
-describe("the memory of ended calls", () => {
-  it("forgets the oldest answers before they fill the heap", async () => {
+describe("claim registry", () => {
+  it("evicts the oldest answers before they fill the heap", async () => {
     const registry = createClaimRegistry({ incarnation: 1 });
     registry.begin("runs");
     for (let count = 0; count < 20; count++) {
@@ -26,7 +26,7 @@
     expect(await ask("runs")).toBe("running");
   });
 
-  it("answers only for the process that made the claim", async () => {
+  it("reports a claim of an earlier process as forgotten", async () => {
     const registry = createClaimRegistry({ incarnation: 2 });
     registry.begin("r1");
     registry.endUnsent("r1");
--- a/packages/calls/src/claim_store.ts
+++ b/packages/calls/src/claim_store.ts
@@ -1,7 +1,7 @@
-/** What a durable record of calls that run at most once must offer. */
+/** Interface of the durable store of claims for at-most-once calls. */
 import type { ClaimObject, ClaimState } from "@rosemarypin/schemas";
 
-/** The call that asks for a claim. */
+/** The call that a claim is requested for. */
 export interface ClaimRequest {
   readonly service: string;
   readonly organisation: string;
@@ -11,7 +11,7 @@
   readonly fingerprint: string;
 }
 
-/** A claim as it was last seen. */
+/** A claim as it was last read or written. */
 export interface Claim {
   readonly key: string;
   readonly object: ClaimObject;
@@ -19,13 +19,13 @@
 }
 
 export type ClaimResult =
-  /** The claim is durable: this call, and no other, may be sent. */
+  /** The claim is durable: only this call may be sent. */
   | { readonly kind: "claimed"; readonly claim: Claim }
-  /** The key was used before; here is what is known of it. */
+  /** The key already has a claim, which is returned. */
   | { readonly kind: "taken"; readonly claim: Claim }
   /**
-   * The claim is not known to be durable, so the call must never be sent.
-   * The claim may still turn up in the store, if its write was late.
+   * The claim may not be durable, so the call must never be sent. A delayed
+   * write may still create the claim in the store afterwards.
    */
   | {
       readonly kind: "unavailable";
@@ -33,20 +33,20 @@
       readonly retryAfterMs: number;
     };
 
-/** What became of a claim in the meantime. */
+/** Result of reading a claim again. */
 export type ClaimReading =
   | { readonly kind: "found"; readonly claim: Claim }
   | { readonly kind: "unavailable" };
 
-/** Keeps claims where all instances see them. */
+/** Stores claims where all instances can read them. */
 export interface ClaimStore {
   claim(request: ClaimRequest): Promise<ClaimResult>;
-  /** Takes over a claim whose owner says that it never sent the call. */
+  /** Takes over a claim whose owner reported that it never sent the call. */
   reuse(request: ClaimRequest, neverSent: Claim): Promise<ClaimResult>;
   read(claim: Claim): Promise<ClaimReading>;
   /**
-   * Records what became of the call, unless the claim has moved on; `false`
-   * when the store could not be reached.
+   * Records the state of the call unless the claim has changed since it was
+   * read. Resolves to `false` if the write could not be confirmed.
    */
   settle(claim: Claim, state: ClaimState): Promise<boolean>;
 }
--- a/packages/calls/src/claim_store_breaker.ts
+++ b/packages/calls/src/claim_store_breaker.ts
@@ -1,44 +1,47 @@
-/** Refuses at once while the store is away, and tries it now and then. */
+/** Circuit breaker for writes of claims to the store. */
 
-const FAILURES_TO_CLOSE = 2;
-const RETRY_MS = 1_000;
+const FAILURES_TO_OPEN = 2;
+const PROBE_INTERVAL_MS = 1_000;
 
-export interface OutageGate {
-  /** How long callers should stay away; 0 when the store may be tried. */
+export interface ClaimStoreBreaker {
+  /**
+   * Returns 0 if the caller may write now, else the time until the next probe.
+   * While the breaker is open, a caller that gets 0 is the probe.
+   */
   waitMs(): number;
-  /** How long a caller that met a failure should stay away. */
+  /** Delay to report to a caller whose write failed. */
   readonly retryMs: number;
   succeeded(): void;
   failed(): void;
 }
 
 /**
- * Creates a gate that closes for a second after failures in a row.
+ * Creates a breaker that opens for a second after two consecutive failures.
  *
- * Without it each call of a hanging store waits for all its timeouts, so
- * callers are told `not_run` seconds late and the store gets, as it comes
- * back, all of their tries at once. The call that finds the gate open again
- * closes it behind itself, so one call a second tries the store.
+ * Without it, each call waits for all write timeouts of a hanging store:
+ * callers get `not_run` seconds late, and a recovering store receives all of
+ * their retries at once. While the breaker is open, one call a second is let
+ * through as a probe.
  */
-export function createOutageGate(): OutageGate {
-  let failures = 0;
-  let closedUntil = Number.NEGATIVE_INFINITY;
+export function createClaimStoreBreaker(): ClaimStoreBreaker {
+  let consecutiveFailures = 0;
+  let openUntil = Number.NEGATIVE_INFINITY;
 
   return {
-    retryMs: RETRY_MS,
+    retryMs: PROBE_INTERVAL_MS,
     waitMs() {
-      if (failures < FAILURES_TO_CLOSE) return 0;
+      if (consecutiveFailures < FAILURES_TO_OPEN) return 0;
       const now = performance.now();
-      if (now < closedUntil) return Math.ceil(closedUntil - now);
-      closedUntil = now + RETRY_MS;
+      if (now < openUntil) return Math.ceil(openUntil - now);
+      openUntil = now + PROBE_INTERVAL_MS;
       return 0;
     },
     succeeded() {
-      failures = 0;
+      consecutiveFailures = 0;
     },
     failed() {
-      failures += 1;
-      closedUntil = performance.now() + RETRY_MS;
+      consecutiveFailures += 1;
+      openUntil = performance.now() + PROBE_INTERVAL_MS;
     },
   };
 }
--- a/packages/calls/src/claim_sweeper.ts
+++ b/packages/calls/src/claim_sweeper.ts
@@ -1,4 +1,4 @@
-/** Removes claims of keys that have expired. */
+/** Periodic removal of the claims of expired keys. */
 
 import { storedKeys } from "@rosemarypin/schemas";
 import type { ObjectStore } from "@rosemarypin/store";
@@ -6,10 +6,10 @@
 import { expiredBuckets } from "./claim_key.ts";
 
 const HOUR_MS = 3_600_000;
-/** A day's buckets are looked through, for hours in which none swept. */
-const BUCKETS = 24;
-/** Slow, so that bookings keep the store's calls for themselves. */
-const PAUSE_MS = 100;
+/** A sweep covers a day, to make up for hours in which no instance swept. */
+const BUCKETS_PER_SWEEP = 24;
+/** Limits the rate of removals, which share the store with bookings. */
+const PAUSE_BETWEEN_REMOVALS_MS = 100;
 
 const log = createLogger("claims");
 
@@ -17,25 +17,28 @@
   readonly deployment: string;
   readonly services: readonly string[];
   readonly store: ObjectStore;
-  /** How many instances sweep, so that one an hour does on average. */
+  /**
+   * Number of instances that sweep. Their delays grow with it, so that the
+   * fleet sweeps about once an hour.
+   */
   readonly instances: () => number;
-  /** A number from 0 to 1. */
+  /** Returns a random number from 0 to 1. */
   readonly random?: () => number;
 }
 
-/** Sweeps now and then. */
+/** Sweeps expired claims at random times. */
 export interface ClaimSweeper {
-  /** Removes what has expired; resolves to how many claims it removed. */
+  /** Removes expired claims; resolves to the number of removed claims. */
   sweep(): Promise<number>;
   stop(): void;
 }
 
 /**
- * Starts to sweep at random times.
+ * Creates a sweeper and schedules its first sweep.
  *
- * Two instances may sweep the same bucket: a removal holds only for the
- * version that was read, and expired claims are never written again, but for
- * a late write, which the next sweep finds.
+ * Two instances may sweep the same bucket at once, as each removal is
+ * conditional on the version that was listed. A delayed write can still
+ * create an expired claim afterwards; the next sweep removes it.
  */
 export function createClaimSweeper(options: ClaimSweeperOptions): ClaimSweeper {
   const { deployment, store, random = Math.random } = options;
@@ -43,8 +46,8 @@
   let stopped = false;
 
   function schedule(): void {
-    const longestMs = 2 * HOUR_MS * options.instances();
-    timer = setTimeout(() => void run(), random() * longestMs);
+    const maxDelayMs = 2 * HOUR_MS * options.instances();
+    timer = setTimeout(() => void run(), random() * maxDelayMs);
   }
 
   async function run(): Promise<void> {
@@ -56,7 +59,7 @@
   async function sweep(): Promise<number> {
     let removed = 0;
     for (const service of options.services) {
-      for (const bucket of expiredBuckets(BUCKETS)) {
+      for (const bucket of expiredBuckets(BUCKETS_PER_SWEEP)) {
         removed += await sweepBucket(service, bucket);
       }
     }
@@ -71,7 +74,9 @@
       if (stopped) break;
       const result = await store.remove(key, { expectedVersion: version });
       if (result.kind === "ok") removed += 1;
-      await new Promise((resolve) => setTimeout(resolve, PAUSE_MS));
+      await new Promise((resolve) =>
+        setTimeout(resolve, PAUSE_BETWEEN_REMOVALS_MS),
+      );
     }
     return removed;
   }
--- a/packages/calls/src/claim_sweeper_test.ts
+++ b/packages/calls/src/claim_sweeper_test.ts
@@ -5,7 +5,7 @@
 
 const HOUR_MS = 3_600_000;
 
-function keyMadeAt(time: number): string {
+function keyCreatedAt(time: number): string {
   const hex = time.toString(16).padStart(12, "0");
   return `${hex.slice(0, 8)}-${hex.slice(8)}-7000-8000-000000000001`;
 }
@@ -13,11 +13,11 @@
 beforeEach(() => void vi.useFakeTimers({ now: 1_800_000_000_000 }));
 afterEach(() => void vi.useRealTimers());
 
-describe("claims of expired keys", () => {
-  it("are removed hours after keys expire; undated ones stay", async () => {
-    // Claims would fill the platform's store. They go only once no instance,
-    // whatever its clock within two hours, takes their keys any more; a key
-    // that does not say its age is never removed.
+describe("claim sweeper", () => {
+  it("removes claims hours after keys expire and keeps undated ones", async () => {
+    // Without removal, claims would fill the platform's store. A claim is
+    // removed only when every instance refuses its key, with up to two hours
+    // of clock skew. The age of an undated key is unknown, so it is kept.
     const memory = createMemoryStore();
     const { store } = memory.client();
     const claims = createRecordClaims({
@@ -34,7 +34,7 @@
         requestId: idempotencyKey,
         fingerprint: "f",
       });
-    await claim(keyMadeAt(Date.now()));
+    await claim(keyCreatedAt(Date.now()));
     await claim("undated");
     const sweeper = createClaimSweeper({
       deployment: "test",
--- a/packages/calls/src/duplicate_call.ts
+++ b/packages/calls/src/duplicate_call.ts
@@ -1,4 +1,4 @@
-/** A call whose key has a claim already: finds out what became of it. */
+/** Duplicate calls: the key already has a claim of an earlier call. */
 import type { ServiceAnswer } from "@rosemarypin/backends";
 import type { ClaimState } from "@rosemarypin/schemas";
 import { badCall, type CallFailure } from "./call_failure.ts";
@@ -10,74 +10,76 @@
   type ServiceCallContext,
   type ServiceCallResult,
 } from "./service_context.ts";
-import { findByLookup, mayHaveRun, stillRunning } from "./unknown_outcome.ts";
+import { lookUpAnswer, mayHaveRun, stillRunning } from "./unknown_outcome.ts";
 
-/** How long the owner may hold one question. */
-const LONGEST_WAIT_MS = 1_000;
+/** Limit of the time that the owner waits before it replies `running`. */
+const MAX_OWNER_WAIT_MS = 1_000;
 
-/** What following a claim came to. */
-export type FollowedClaim =
+/** Outcome of a duplicate call. */
+export type ExistingClaimOutcome =
   | { readonly kind: "ended"; readonly result: ServiceCallResult }
-  /** The claim at this version is free: its owner never sent the call. */
+  /** The claim may be taken over: its owner never sent the call. */
   | { readonly kind: "free"; readonly neverSent: Claim };
 
-interface SecondCall {
+interface DuplicateCall {
   readonly context: ServiceCallContext;
   readonly request: ClaimRequest;
   readonly claim: Claim;
 }
 
 /**
- * Gives the second caller the first answer, waits for it while its owner
- * lives, or tells the truth that none is known.
+ * Resolves a duplicate call with the answer of the first call. Waits for that
+ * answer while the first call runs, and fails with `outcome_unknown` if there
+ * is none.
  *
- * Only the owner's own word frees a claim. An owner that is silent may be
- * frozen between claim and sending and may go on at any time; a second run
- * would follow if anybody else had freed the key meanwhile.
+ * Only the owner of a claim can free it. An owner that does not reply may be
+ * frozen between claim and sending, and would still send the call when it
+ * resumes; had another instance freed the key, the call would run twice.
  */
-export async function followClaim(
+export async function resolveExistingClaim(
   call: ServiceCall,
-  options: SecondCall,
-): Promise<FollowedClaim> {
+  options: DuplicateCall,
+): Promise<ExistingClaimOutcome> {
   const { context, request } = options;
-  const learned = await learnState(call, options);
-  const { claim, state } = learned;
+  const current = await awaitClaimState(call, options);
+  const { claim, state } = current;
   if (claim.object.fingerprint !== request.fingerprint) {
-    return ended(failed(keyReused()));
+    return endedWith(failed(keyReused()));
   }
   switch (state) {
     case "free":
       return { kind: "free", neverSent: claim };
     case "running":
-      return ended(failed(stillRunning()));
+      return endedWith(failed(stillRunning()));
     default:
-      return ended(await replay(call, { context, claim, state }));
+      return endedWith(await replay(call, { context, claim, state }));
   }
 }
 
-interface Learned {
+interface CurrentClaim {
   readonly claim: Claim;
   readonly state: ClaimState | "free" | "running";
 }
 
-/** Asks the owner, until the call ends or the deadline comes. */
-async function learnState(
+/** Queries the owner until the first call ends or the deadline passes. */
+async function awaitClaimState(
   call: ServiceCall,
-  { context, request, claim: first }: SecondCall,
-): Promise<Learned> {
+  { context, request, claim: first }: DuplicateCall,
+): Promise<CurrentClaim> {
   let claim = first;
   while (claim.object.state.kind === "claimed") {
     if (claim.object.fingerprint !== request.fingerprint) break;
     const leftMs = call.deadlineAt - Date.now();
     if (leftMs <= 0) return { claim, state: "running" };
-    const word = await context.owners.ask(claim.object, {
-      waitMs: Math.min(leftMs, LONGEST_WAIT_MS),
+    const ownerReply = await context.owners.ask(claim.object, {
+      waitMs: Math.min(leftMs, MAX_OWNER_WAIT_MS),
     });
-    if (word.kind === "running") continue;
-    if (word.kind === "never_sent") return { claim, state: "free" };
-    if (word.kind === "settled") return { claim, state: word.state };
-    // The owner cannot say; it may have recorded the end before it went, or
-    // another caller may have taken the key over since.
+    if (ownerReply.kind === "running") continue;
+    if (ownerReply.kind === "never_sent") return { claim, state: "free" };
+    if (ownerReply.kind === "settled")
+      return { claim, state: ownerReply.state };
+    // The owner did not report a state. It may have recorded the result before
+    // it ended, or another call may have taken the claim over.
     const reading = await context.claims.read(claim);
     if (reading.kind !== "found") break;
     if (reading.claim.version === claim.version) break;
@@ -87,6 +89,7 @@
   return { claim, state: state.kind === "released" ? "free" : state };
 }
 
+/** Answers from the recorded state, or else from a look-up. */
 async function replay(
   call: ServiceCall,
   options: {
@@ -96,26 +99,26 @@
   },
 ): Promise<ServiceCallResult> {
   const { context, claim, state } = options;
-  const kept = keptAnswer(state);
-  if (kept) return answered(kept, { repeated: true });
-  const found = await findByLookup(call, context);
-  if (!found) return failed(mayHaveRun());
+  const recorded = recordedAnswer(state);
+  if (recorded) return answered(recorded, { repeated: true });
+  const lookedUpAnswer = await lookUpAnswer(call, context);
+  if (!lookedUpAnswer) return failed(mayHaveRun());
   context.ends.record(claim, {
     kind: "answered",
-    status: found.status,
-    contentType: found.contentType,
-    body: found.body.toString("base64"),
+    status: lookedUpAnswer.status,
+    contentType: lookedUpAnswer.contentType,
+    body: lookedUpAnswer.body.toString("base64"),
   });
-  return answered(found, { repeated: true });
+  return answered(lookedUpAnswer, { repeated: true });
 }
 
-function keptAnswer(state: ClaimState): ServiceAnswer | null {
+function recordedAnswer(state: ClaimState): ServiceAnswer | null {
   if (state.kind !== "answered") return null;
   const { status, contentType, body } = state;
   return { status, contentType, body: Buffer.from(body, "base64") };
 }
 
-function ended(result: ServiceCallResult): FollowedClaim {
+function endedWith(result: ServiceCallResult): ExistingClaimOutcome {
   return { kind: "ended", result };
 }
 
--- a/packages/calls/src/idempotent_call.ts
+++ b/packages/calls/src/idempotent_call.ts
@@ -1,4 +1,4 @@
-/** A call that may be repeated: tries servers until one answers. */
+/** Idempotent calls, which are retried on other servers. */
 import { failedRun, notRun } from "./call_failure.ts";
 import {
   answered,
@@ -9,22 +9,25 @@
 } from "./service_context.ts";
 import { logServerFailure } from "./service_log.ts";
 
-const RETRY_SECONDS = 1;
+const RETRY_AFTER_SECONDS = 1;
 
-/** Tries servers in turn, within the deadline and the retry budget. */
+/**
+ * Sends the call to one server after another until one answers, within the
+ * deadline and the retry budget.
+ */
 export async function runIdempotent(
   call: ServiceCall,
   context: ServiceCallContext,
 ): Promise<ServiceCallResult> {
   const { service, budget, fleet } = context;
   let mayHaveRun = false;
-  let tries = 0;
+  let attempts = 0;
   budget.earn();
   for (const server of context.servers()) {
     const leftMs = call.deadlineAt - Date.now();
     if (leftMs <= 0) break;
-    if (tries > 0 && !budget.spend()) break;
-    tries += 1;
+    if (attempts > 0 && !budget.spend()) break;
+    attempts += 1;
     const result = await fleet.send(server, call.request, {
       timeoutMs: Math.min(service.timeoutMs, leftMs),
     });
@@ -35,7 +38,7 @@
     logServerFailure(call, { server: server.id, result });
   }
   const message = `no server of '${call.service}' answered; ask again`;
-  const retryAfterSeconds = RETRY_SECONDS;
+  const retryAfterSeconds = RETRY_AFTER_SECONDS;
   return failed(
     mayHaveRun
       ? failedRun("no_answer", { message, retryAfterSeconds })
--- a/packages/calls/src/mod.ts
+++ b/packages/calls/src/mod.ts
@@ -1,4 +1,4 @@
-/** One call from admission to its final answer. */
+/** Handling of one call or streamed answer, from admission to its result. */
 export * from "./answer.ts";
 export * from "./answer_event.ts";
 export * from "./answer_link_speeds.ts";
--- a/packages/calls/src/object_claim_store.ts
+++ b/packages/calls/src/object_claim_store.ts
@@ -1,4 +1,4 @@
-/** Claims kept as one object of the platform's object API for each key. */
+/** Claim store that keeps one object per key in the platform's object API. */
 
 import {
   type ClaimObject,
@@ -19,28 +19,28 @@
   ClaimResult,
   ClaimStore,
 } from "./claim_store.ts";
-import { createOutageGate } from "./claim_store_breaker.ts";
+import { createClaimStoreBreaker } from "./claim_store_breaker.ts";
 
-const WRITE_TRIES = 3;
-/** A write without a reply is given up, and written again, after this. */
+const MAX_WRITE_ATTEMPTS = 3;
+/** A write without a reply is retried after this time. */
 const WRITE_TIMEOUT_MS = 700;
-/** A call that would wait longer for its claim's turn is refused at once. */
-const CLAIM_WAIT_MS = 500;
-/** Nobody waits for the record of an end. */
-const END_WAIT_MS = 5_000;
+/** A claim that would wait longer for its store call is refused at once. */
+const MAX_CLAIM_WAIT_MS = 500;
+/** Longer than for claims, as no caller waits for a result's record. */
+const MAX_RESULT_WAIT_MS = 5_000;
 
 export interface RecordClaimsOptions {
   readonly deployment: string;
   readonly owner: string;
-  /** Start of the owner's process, to tell it from an earlier one. */
+  /** Start time of the owner's process; distinguishes its restarts. */
   readonly incarnation: number;
   readonly store: ObjectStore;
 }
 
-/** Creates a store with one object for each key. */
+/** Creates a claim store that writes claims in the name of `owner`. */
 export function createRecordClaims(options: RecordClaimsOptions): ClaimStore {
   const { store } = options;
-  const gate = createOutageGate();
+  const breaker = createClaimStoreBreaker();
 
   function newObject(request: ClaimRequest): ClaimObject {
     return {
@@ -53,38 +53,38 @@
     };
   }
 
-  function keyOf(request: ClaimRequest): string {
+  function objectKeyOf(request: ClaimRequest): string {
     const name = claimName(request);
     return storedKeys.claim(options.deployment, request.service, name);
   }
 
   /**
-   * Writes the claim until the store says who has the key.
+   * Retries the write until the store confirms which request has the key.
    *
-   * A lost reply hides whether the write took effect. The same conditional
-   * write is made again: if the first one landed, the second conflicts with
-   * an object that carries this request's own id; if not, the second lands
-   * and the first, should it come late, conflicts.
+   * After a lost reply it is unknown whether the write took effect, so the
+   * same conditional write is retried. If the first write took effect, the
+   * retry conflicts with an object that carries this request's id. If not,
+   * the retry takes effect, and the first write conflicts if it arrives late.
    */
-  async function write(
+  async function writeClaim(
     request: ClaimRequest,
-    firstExpected: number | null,
+    initialVersion: number | null,
   ): Promise<ClaimResult> {
-    const waitMs = gate.waitMs();
+    const waitMs = breaker.waitMs();
     if (waitMs > 0) return unavailable("the store is away", waitMs);
-    const key = keyOf(request);
+    const key = objectKeyOf(request);
     const object = newObject(request);
-    let expectedVersion = firstExpected;
+    let expectedVersion = initialVersion;
     let detail = "";
-    for (let tries = 0; tries < WRITE_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       const written = await store.write(key, object, {
         expectedVersion,
         timeoutMs: WRITE_TIMEOUT_MS,
         urgency: "begin",
-        longestWaitMs: CLAIM_WAIT_MS,
+        longestWaitMs: MAX_CLAIM_WAIT_MS,
       });
       if (written.kind === "ok") {
-        gate.succeeded();
+        breaker.succeeded();
         const version = written.value;
         return { kind: "claimed", claim: { key, object, version } };
       }
@@ -92,38 +92,38 @@
         detail = written.detail;
         continue;
       }
-      if (written.kind !== "conflict") return refuse(written);
-      gate.succeeded();
+      if (written.kind !== "conflict") return unavailableAfter(written);
+      breaker.succeeded();
       const existing = parseClaim(written.actual);
       if (written.actual !== null && !existing) {
-        return unavailable("the claim could not be read", gate.retryMs);
+        return unavailable("the claim could not be read", breaker.retryMs);
       }
-      if (existing && !isFree(existing, object)) {
-        return isOwn(existing, object)
+      if (existing && !isReusable(existing, object)) {
+        return isSameRequest(existing, object)
           ? { kind: "claimed", claim: existing }
           : { kind: "taken", claim: existing };
       }
       expectedVersion = existing?.version ?? null;
     }
-    gate.failed();
-    return unavailable(detail, gate.retryMs);
+    breaker.failed();
+    return unavailable(detail, breaker.retryMs);
   }
 
-  function refuse(failure: StoreFailure): ClaimResult {
+  function unavailableAfter(failure: StoreFailure): ClaimResult {
     if (failure.kind === "over_budget") {
       return unavailable("the budget of store calls", failure.retryAfterMs);
     }
-    gate.failed();
-    return unavailable(failure.kind, gate.retryMs);
+    breaker.failed();
+    return unavailable(failure.kind, breaker.retryMs);
   }
 
   async function settle(claim: Claim, state: ClaimState): Promise<boolean> {
     const object = { ...claim.object, state };
-    for (let tries = 0; tries < WRITE_TRIES; tries++) {
+    for (let attempt = 0; attempt < MAX_WRITE_ATTEMPTS; attempt++) {
       const written = await store.write(claim.key, object, {
         expectedVersion: claim.version,
         urgency: "finish",
-        longestWaitMs: END_WAIT_MS,
+        longestWaitMs: MAX_RESULT_WAIT_MS,
       });
       if (written.kind === "ok" || written.kind === "conflict") return true;
       if (written.kind !== "reply_lost") return false;
@@ -138,20 +138,20 @@
   }
 
   return {
-    claim: (request) => write(request, null),
-    reuse: (request, neverSent) => write(request, neverSent.version),
+    claim: (request) => writeClaim(request, null),
+    reuse: (request, neverSent) => writeClaim(request, neverSent.version),
     read,
     settle,
   };
 }
 
-/** A released claim is free for the same call; any other keeps its owner. */
-function isFree({ object }: Claim, wanted: ClaimObject): boolean {
+/** A released claim may be reused, but only by a call of equal content. */
+function isReusable({ object }: Claim, wanted: ClaimObject): boolean {
   const sameCall = object.fingerprint === wanted.fingerprint;
   return object.state.kind === "released" && sameCall;
 }
 
-function isOwn({ object }: Claim, wanted: ClaimObject): boolean {
+function isSameRequest({ object }: Claim, wanted: ClaimObject): boolean {
   const sameRequest = object.requestId === wanted.requestId;
   return sameRequest && object.state.kind === "claimed";
 }
--- a/packages/calls/src/outcome_table_test.ts
+++ b/packages/calls/src/outcome_table_test.ts
@@ -10,27 +10,27 @@
 import { createServiceCaller } from "./service_call.ts";
 import type { ServiceCallResult } from "./service_context.ts";
 
-/** Only rows about timeouts wait; the others must not meet one by chance. */
+/** For rows that time out only; others must not time out by chance. */
 const SHORT_TIMEOUT_MS = 250;
 const LONG_TIMEOUT_MS = 20_000;
 const LARGE = "x".repeat(4_000_000);
 
 interface Row {
   readonly fault: string;
-  /** What the server does with a connection; `null` when none listens. */
+  /** Handles a connection to the server; `null` if no server listens. */
   readonly serve: ((socket: Socket) => void) | null;
   readonly body?: string;
   readonly timesOut?: boolean;
-  /** What a caller of a call that must not be repeated is told. */
-  readonly single: string;
-  /** What a caller of an idempotent call is told. */
+  /** Outcome reported for a call that is not idempotent. */
+  readonly atMostOnce: string;
+  /** Outcome reported for an idempotent call. */
   readonly idempotent: string;
 }
 
-const UNKNOWN = { single: "outcome_unknown", idempotent: "failed" };
-const NOT_RUN = { single: "not_run", idempotent: "not_run" };
-const ANSWER = (status: number) => ({
-  single: `answer ${status}`,
+const UNKNOWN_OUTCOME = { atMostOnce: "outcome_unknown", idempotent: "failed" };
+const NOT_RUN = { atMostOnce: "not_run", idempotent: "not_run" };
+const ANSWERED = (status: number) => ({
+  atMostOnce: `answer ${status}`,
   idempotent: `answer ${status}`,
 });
 
@@ -40,32 +40,32 @@
   {
     fault: "reset after the request, before the first byte",
     serve: (socket) => socket.once("data", () => socket.resetAndDestroy()),
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "reset after a part of the request",
     serve: (socket) => socket.once("data", () => socket.resetAndDestroy()),
     body: LARGE,
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "closed without an answer",
     serve: (socket) => socket.once("data", () => socket.end()),
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "reset after the first byte of the response",
     serve: afterRequest((socket) =>
       socket.write("H", () => socket.resetAndDestroy()),
     ),
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "half a response",
     serve: afterRequest((socket) =>
       socket.end("HTTP/1.1 201 Created\r\ncontent-length: 9\r\n\r\nhalf"),
     ),
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "half a response in chunks",
@@ -74,18 +74,18 @@
         "HTTP/1.1 201 Created\r\ntransfer-encoding: chunked\r\n\r\n4\r\nhalf\r\n",
       ),
     ),
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "something that is not HTTP",
     serve: afterRequest((socket) => socket.end("220 hello\r\n")),
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "timeout before the response",
     serve: () => {},
     timesOut: true,
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "timeout within the response",
@@ -93,17 +93,17 @@
       socket.write("HTTP/1.1 201 Created\r\ncontent-length: 9\r\n\r\nhalf"),
     ),
     timesOut: true,
-    ...UNKNOWN,
+    ...UNKNOWN_OUTCOME,
   },
   {
     fault: "an answer of 500",
     serve: respond("500 Internal Server Error"),
-    ...ANSWER(500),
+    ...ANSWERED(500),
   },
   {
     fault: "an answer of 503 that does not say it did not start",
     serve: respond("503 Service Unavailable"),
-    ...ANSWER(503),
+    ...ANSWERED(503),
   },
   {
     fault: "a refusal with x-not-started",
@@ -113,9 +113,9 @@
   {
     fault: "a success that says it did not start",
     serve: respond("201 Created", "x-not-started: busy\r\n"),
-    ...ANSWER(201),
+    ...ANSWERED(201),
   },
-  { fault: "no fault", serve: respond("201 Created"), ...ANSWER(201) },
+  { fault: "no fault", serve: respond("201 Created"), ...ANSWERED(201) },
 ];
 
 let server: Server | null = null;
@@ -133,17 +133,17 @@
   server = null;
 });
 
-describe("the outcome that a caller is told", () => {
-  it.each(rows)("single call, $fault: $single", async (row) => {
+describe("reported outcome", () => {
+  it.each(rows)("at-most-once call, $fault: $atMostOnce", async (row) => {
     const call = await createCaller(row.serve, row);
-    expect(told(await call("POST", row.body))).toBe(row.single);
+    expect(summaryOf(await call("POST", row.body))).toBe(row.atMostOnce);
     expect(connections).toBeLessThanOrEqual(1);
   });
 
-  it("is not_run for an early reset only if no byte was taken", async () => {
-    // The server resets each connection as it is made. Whether the client
-    // sees the connection stand first is a race; where it did not, nothing
-    // of the call was handed over.
+  it("early reset: not_run only if the server received no byte", async () => {
+    // The server resets each connection on accept. The client may or may not
+    // see the connection as established before the reset; only if it does not,
+    // no part of the call was sent.
     let bytes = 0;
     const call = await createCaller((socket) => {
       socket.on("data", (chunk) => {
@@ -151,30 +151,30 @@
       });
       socket.resetAndDestroy();
     });
-    const outcome = told(await call("POST"));
+    const outcome = summaryOf(await call("POST"));
     expect(["not_run", "outcome_unknown"]).toContain(outcome);
     if (outcome === "not_run") expect(bytes).toBe(0);
   });
 
   it.each(rows)("idempotent call, $fault: $idempotent", async (row) => {
     const call = await createCaller(row.serve, row);
-    expect(told(await call("PUT", row.body))).toBe(row.idempotent);
+    expect(summaryOf(await call("PUT", row.body))).toBe(row.idempotent);
   });
 });
 
-describe("connections of calls that must not be repeated", () => {
-  it("are not reused, so an idle one that closes harms no call", async () => {
-    // A service closes idle connections after a while, or restarts. The next
-    // order went out on the kept connection, met the reset, and its caller
-    // was told outcome_unknown although the service never saw the order.
+describe("connections of at-most-once calls", () => {
+  it("are not reused, so that an idle close cannot fail a call", async () => {
+    // A service closes idle connections after some time, or restarts. An order
+    // sent on a reused connection would meet the reset and be reported as
+    // outcome_unknown, although the service never received it.
     const call = await createCaller((socket) => {
       socket.on("data", () => {
-        socket.write(whole("201 Created"));
+        socket.write(rawResponse("201 Created"));
         setTimeout(() => socket.resetAndDestroy(), 5);
       });
     });
     for (let turn = 1; turn <= 5; turn++) {
-      expect(told(await call("POST"))).toBe("answer 201");
+      expect(summaryOf(await call("POST"))).toBe("answer 201");
       expect(connections).toBe(turn);
       await new Promise((resolve) => setTimeout(resolve, 4 + turn / 2));
     }
@@ -258,14 +258,14 @@
 }
 
 function respond(status: string, headers = "") {
-  return afterRequest((socket) => socket.end(whole(status, headers)));
+  return afterRequest((socket) => socket.end(rawResponse(status, headers)));
 }
 
-function whole(status: string, headers = ""): string {
+function rawResponse(status: string, headers = ""): string {
   return `HTTP/1.1 ${status}\r\n${headers}content-length: 2\r\n\r\nok`;
 }
 
-function told(result: ServiceCallResult): string {
+function summaryOf(result: ServiceCallResult): string {
   return result.kind === "answer"
     ? `answer ${result.answer.status}`
     : result.failure.outcome;
--- a/packages/calls/src/result_recorder.ts
+++ b/packages/calls/src/result_recorder.ts
@@ -1,32 +1,38 @@
-/** Records behind the answers what became of calls that run at most once. */
+/**
+ * Records the results of at-most-once calls in their claims, in the background
+ * so that callers do not wait for the store.
+ */
 import type { ClaimEnd, ClaimState } from "@rosemarypin/schemas";
 import { pause } from "@rosemarypin/timing";
 import type { Claim, ClaimStore } from "./claim_store.ts";
-import { logSettleFailure } from "./service_log.ts";
+import { logRecordFailure } from "./service_log.ts";
 
-const RETRY_MS = 5_000;
-const GIVE_UP_AFTER_MS = 600_000;
-/** Ends of other instances that are taken over at once, at most. */
-const LARGEST_ADOPTED = 1_000;
+const RETRY_INTERVAL_MS = 5_000;
+const MAX_RETRY_DURATION_MS = 600_000;
+/** Limit of unrecorded results adopted from instances that are stopping. */
+const MAX_ADOPTED_RESULTS = 1_000;
 
-/** Gives an end to another instance; resolves to whether it was taken. */
+/** Sends a result to another instance; resolves to whether it accepted. */
 export type GiveEnd = (end: ClaimEnd) => Promise<boolean>;
 
-/** Keeps at it until each end is recorded. */
+/** Retries until each result is recorded or its retry period is over. */
 export interface EndRecorder {
-  /** Begins to record the end of a claim of this instance. */
+  /** Starts to record the result of a call that this instance handled. */
   record(claim: Claim, state: ClaimState): void;
-  /** Takes over an end of an instance that stops; `false` when full. */
+  /** Accepts a result of a stopping instance; returns `false` when full. */
   adopt(end: ClaimEnd): boolean;
-  /** Ends that are not recorded yet. */
+  /** Number of results that are not recorded yet. */
   count(): number;
-  /** Resolves once all are recorded, or after `withinMs`. */
+  /** Resolves when no result is pending, or after `withinMs`. */
   finish(withinMs: number): Promise<void>;
-  /** Gives away what is not recorded; resolves to how many are left. */
+  /**
+   * Hands unrecorded results over to other instances; resolves to the number
+   * of results that are still pending here.
+   */
   handOver(give: GiveEnd): Promise<number>;
 }
 
-interface Pending {
+interface PendingResult {
   readonly end: ClaimEnd;
   readonly given: AbortController;
 }
@@ -34,49 +40,52 @@
 /**
  * Creates a recorder.
  *
- * An end is written on condition that the claim is as it was, so two
- * instances that record the same one, when a hand-over's reply was lost, do
- * no harm: the second finds that the claim has moved on and is done.
+ * Two instances may record the same result, if the reply to a hand-over was
+ * lost. This is safe because each write is conditional on the claim's version:
+ * the second write conflicts, which ends its retries.
  */
 export function createEndRecorder(options: {
   readonly claims: Pick<ClaimStore, "settle">;
 }): EndRecorder {
-  const pending = new Set<Pending>();
-  const idle = new Set<() => void>();
-  let adopted = 0;
+  const pending = new Set<PendingResult>();
+  const idleListeners = new Set<() => void>();
+  let adoptedCount = 0;
 
-  async function keepTrying({ end, given }: Pending): Promise<void> {
+  async function recordWithRetries({
+    end,
+    given,
+  }: PendingResult): Promise<void> {
     const { state, ...claim } = end;
-    const giveUpAt = performance.now() + GIVE_UP_AFTER_MS;
-    for (let tries = 1; performance.now() < giveUpAt; tries++) {
+    const retryUntil = performance.now() + MAX_RETRY_DURATION_MS;
+    for (let attempts = 1; performance.now() < retryUntil; attempts++) {
       const isRecorded = await options.claims.settle(claim, state);
       if (isRecorded || given.signal.aborted) return;
-      logSettleFailure(claim.object.requestId, tries);
-      await pause(RETRY_MS, given.signal);
+      logRecordFailure(claim.object.requestId, attempts);
+      await pause(RETRY_INTERVAL_MS, given.signal);
       if (given.signal.aborted) return;
     }
   }
 
-  async function begin(end: ClaimEnd): Promise<void> {
+  async function startRecording(end: ClaimEnd): Promise<void> {
     const entry = { end, given: new AbortController() };
     pending.add(entry);
     try {
-      await keepTrying(entry);
+      await recordWithRetries(entry);
     } finally {
       pending.delete(entry);
-      if (pending.size === 0) for (const wake of [...idle]) wake();
+      if (pending.size === 0) for (const wake of [...idleListeners]) wake();
     }
   }
 
   return {
     record(claim, state) {
-      void begin({ ...claim, state });
+      void startRecording({ ...claim, state });
     },
     adopt(end) {
-      if (adopted >= LARGEST_ADOPTED) return false;
-      adopted += 1;
-      void begin(end).finally(() => {
-        adopted -= 1;
+      if (adoptedCount >= MAX_ADOPTED_RESULTS) return false;
+      adoptedCount += 1;
+      void startRecording(end).finally(() => {
+        adoptedCount -= 1;
       });
       return true;
     },
@@ -85,9 +94,9 @@
       if (pending.size === 0) return;
       const done = new AbortController();
       const wake = () => done.abort();
-      idle.add(wake);
+      idleListeners.add(wake);
       await pause(withinMs, done.signal);
-      idle.delete(wake);
+      idleListeners.delete(wake);
     },
     async handOver(give) {
       for (const entry of [...pending]) {
--- a/packages/calls/src/result_recorder_test.ts
+++ b/packages/calls/src/result_recorder_test.ts
@@ -17,14 +17,14 @@
   return { key: `claims/${requestId}`, object, version: 1 };
 }
 
-/** A store of claims that can be away. */
+/** A claim store that can be made unreachable. */
 function createClaims() {
   const recorded: string[] = [];
   const claims = {
-    isAway: false,
+    isUnreachable: false,
     recorded,
     async settle({ key }: Claim) {
-      if (claims.isAway) return false;
+      if (claims.isUnreachable) return false;
       recorded.push(key);
       return true;
     },
@@ -32,7 +32,7 @@
   return claims;
 }
 
-describe("the ends of calls", () => {
+describe("result recorder", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -40,24 +40,24 @@
     vi.useRealTimers();
   });
 
-  it("are recorded once the store is back", async () => {
+  it("records results when the store recovers", async () => {
     const claims = createClaims();
-    claims.isAway = true;
-    const ends = createEndRecorder({ claims });
-    ends.record(claimOf("r1"), END);
+    claims.isUnreachable = true;
+    const recorder = createEndRecorder({ claims });
+    recorder.record(claimOf("r1"), END);
     await vi.advanceTimersByTimeAsync(60_000);
-    expect(ends.count()).toBe(1);
-    claims.isAway = false;
+    expect(recorder.count()).toBe(1);
+    claims.isUnreachable = false;
     await vi.advanceTimersByTimeAsync(5_000);
-    expect([ends.count(), claims.recorded]).toEqual([0, ["claims/r1"]]);
+    expect([recorder.count(), claims.recorded]).toEqual([0, ["claims/r1"]]);
   });
 
-  it("go to another instance that keeps them after this one", async () => {
-    // An instance is replaced in an outage of the store. The ends it holds
-    // were lost with it, and callers that came again heard `outcome_unknown`
-    // for calls whose answer had been known.
+  it("hands results over to an instance that keeps running", async () => {
+    // An instance is replaced during a store outage. If its unrecorded results
+    // were lost, callers that retry would get `outcome_unknown` for calls that
+    // had been answered.
     const claims = createClaims();
-    claims.isAway = true;
+    claims.isUnreachable = true;
     const leaving = createEndRecorder({ claims });
     const staying = createEndRecorder({ claims });
     leaving.record(claimOf("r1"), END);
@@ -65,32 +65,32 @@
     await vi.advanceTimersByTimeAsync(0);
     expect(await leaving.handOver(async (end) => staying.adopt(end))).toBe(0);
     expect(leaving.count()).toBe(0);
-    claims.isAway = false;
+    claims.isUnreachable = false;
     await vi.advanceTimersByTimeAsync(60_000);
     expect(claims.recorded.sort()).toEqual(["claims/r1", "claims/r2"]);
   });
 
-  it("stay here while no other instance takes them", async () => {
+  it("keeps results while no other instance accepts them", async () => {
     const claims = createClaims();
-    claims.isAway = true;
-    const ends = createEndRecorder({ claims });
-    ends.record(claimOf("r1"), END);
-    expect(await ends.handOver(async () => false)).toBe(1);
-    claims.isAway = false;
-    const finished = ends.finish(30_000);
+    claims.isUnreachable = true;
+    const recorder = createEndRecorder({ claims });
+    recorder.record(claimOf("r1"), END);
+    expect(await recorder.handOver(async () => false)).toBe(1);
+    claims.isUnreachable = false;
+    const finished = recorder.finish(30_000);
     await vi.advanceTimersByTimeAsync(5_000);
     await finished;
     expect(claims.recorded).toEqual(["claims/r1"]);
   });
 
-  it("are not taken over without bound", () => {
-    // Instances that stop one after the other in a long outage hand all that
-    // they hold to those that stay; one must not fill its memory with them.
+  it("limits the number of adopted results", () => {
+    // In a long store outage, instances that stop one after another hand all
+    // their results to the remaining ones, which must not run out of memory.
     const claims = createClaims();
-    claims.isAway = true;
-    const ends = createEndRecorder({ claims });
+    claims.isUnreachable = true;
+    const recorder = createEndRecorder({ claims });
     const end: ClaimEnd = { ...claimOf("r1"), state: END };
-    const taken = Array.from({ length: 1_200 }, () => ends.adopt(end));
+    const taken = Array.from({ length: 1_200 }, () => recorder.adopt(end));
     expect(taken.filter(Boolean)).toHaveLength(1_000);
   });
 });
--- a/packages/calls/src/retry_budget.ts
+++ b/packages/calls/src/retry_budget.ts
@@ -1,31 +1,34 @@
-/** Limits retries to a share of the calls, so that they cannot pile up. */
+/** Limits retries to a fraction of the calls. */
 
-const TOKENS_PER_CALL = 0.1;
-const LARGEST_SAVING = 10;
+const RETRIES_PER_CALL = 0.1;
+const MAX_SAVED_RETRIES = 10;
 
 export interface RetryBudget {
-  /** Counts a first try. */
+  /** Adds the share of a retry that a new call earns. */
   earn(): void;
-  /** Whether one retry may be made now; takes it from the budget. */
+  /** Takes one retry from the budget; returns `false` if there is none. */
   spend(): boolean;
 }
 
 /**
- * Creates a budget of one retry for ten calls, with ten to begin with.
+ * Creates a budget of one retry per ten calls, with ten retries at the start.
  *
- * Without it, a service whose servers all fail gets each call as many times
- * as it has servers, just when it can bear the least. With it, the load of a
- * failing service grows by a tenth.
+ * Without it, a service whose servers all fail would get each call once per
+ * server, which multiplies the load of an overloaded service. With it, retries
+ * add a tenth to the load.
  */
 export function createRetryBudget(): RetryBudget {
-  let tokens = LARGEST_SAVING;
+  let savedRetries = MAX_SAVED_RETRIES;
   return {
     earn() {
-      tokens = Math.min(LARGEST_SAVING, tokens + TOKENS_PER_CALL);
+      savedRetries = Math.min(
+        MAX_SAVED_RETRIES,
+        savedRetries + RETRIES_PER_CALL,
+      );
     },
     spend() {
-      if (tokens < 1) return false;
-      tokens -= 1;
+      if (savedRetries < 1) return false;
+      savedRetries -= 1;
       return true;
     },
   };
--- a/packages/calls/src/service_call.ts
+++ b/packages/calls/src/service_call.ts
@@ -1,6 +1,6 @@
-/** Runs one call of a plain service. */
+/** Entry point for calls of plain services. */
 import { orderServers } from "@rosemarypin/routing";
-import { runOnce } from "./at_most_once_call.ts";
+import { runAtMostOnce } from "./at_most_once_call.ts";
 import { badCall, type CallFailure } from "./call_failure.ts";
 import { runIdempotent } from "./idempotent_call.ts";
 import { createRetryBudget, type RetryBudget } from "./retry_budget.ts";
@@ -11,9 +11,12 @@
   type ServiceCallDependencies,
   type ServiceCallResult,
 } from "./service_context.ts";
-import { findRule, refuseByNote } from "./service_rules.ts";
+import { checkReleaseNote, findRule } from "./service_rules.ts";
 
-/** Runs a call: freely if it is idempotent, else at most once. */
+/**
+ * Creates the function that runs calls. Idempotent calls may be retried;
+ * others are sent at most once.
+ */
 export function createServiceCaller(dependencies: ServiceCallDependencies) {
   const { failureDomain, fleet } = dependencies;
   const budgets = new Map<string, RetryBudget>();
@@ -26,13 +29,13 @@
   }
 
   return async (call: ServiceCall): Promise<ServiceCallResult> => {
-    const refusal = await refuseByNote(call.service, dependencies.keeper);
+    const refusal = await checkReleaseNote(call.service, dependencies.keeper);
     if (refusal) return failed(refusal);
     const service = dependencies.services.find(
       ({ name }) => name === call.service,
     );
     const rule = service && findRule(service, call.request);
-    if (!service || !rule) return failed(unknownCall(call));
+    if (!service || !rule) return failed(unknownCallFailure(call));
     turn += 1;
     const ordered = orderServers(service, { failureDomain, turn });
     const context: ServiceCallContext = {
@@ -43,11 +46,11 @@
     };
     return rule.idempotent
       ? runIdempotent(call, context)
-      : runOnce(call, context);
+      : runAtMostOnce(call, context);
   };
 }
 
-function unknownCall(call: ServiceCall): CallFailure {
+function unknownCallFailure(call: ServiceCall): CallFailure {
   const { method, path } = call.request;
   return badCall("unknown_call", {
     message: `the settings of '${call.service}' have no ${method} ${path}`,
--- a/packages/calls/src/service_context.ts
+++ b/packages/calls/src/service_context.ts
@@ -1,4 +1,4 @@
-/** What all parts of one call of a plain service work with. */
+/** Types that the modules for calls of plain services share. */
 import type {
   ServiceAnswer,
   ServiceFleet,
@@ -14,28 +14,28 @@
 import type { EndRecorder } from "./result_recorder.ts";
 import type { RetryBudget } from "./retry_budget.ts";
 
-/** A call as the callers' interface hands it over. */
+/** A call as received from the callers' interface. */
 export interface ServiceCall {
   readonly requestId: string;
   readonly organisation: string;
   readonly service: string;
   readonly idempotencyKey: string | undefined;
   readonly request: ServiceRequest;
-  /** When the caller gives up, by `Date.now`. */
+  /** Deadline of the caller in Unix milliseconds. */
   readonly deadlineAt: number;
 }
 
-/** The final end of a call. */
+/** The final result of a call. */
 export type ServiceCallResult =
   | {
       readonly kind: "answer";
       readonly answer: ServiceAnswer;
-      /** Whether the answer is that of an earlier call by the same key. */
+      /** Whether the answer belongs to an earlier call with the same key. */
       readonly repeated: boolean;
     }
   | { readonly kind: "failed"; readonly failure: CallFailure };
 
-/** What calls need of the rest of the daemon. */
+/** Components of the daemon that calls use. */
 export interface ServiceCallDependencies {
   readonly keeper: Pick<NoteKeeper, "fresh">;
   readonly services: readonly ServiceSettings[];
@@ -45,19 +45,19 @@
   readonly owners: ClaimOwners;
   readonly failureDomain: string;
   readonly metrics?: Metrics;
-  /** Goes on after the answer; a planned stop waits for it. */
+  /** Records results in the background; a planned stop waits for it. */
   readonly ends: Pick<EndRecorder, "record">;
 }
 
-/** What the parts of one call share. */
+/** State that the modules share for one call. */
 export interface ServiceCallContext extends ServiceCallDependencies {
   readonly service: ServiceSettings;
   readonly budget: RetryBudget;
-  /** Servers that may take the call, in the order to try them. */
+  /** Returns the servers for the call in order of preference. */
   readonly servers: () => readonly ServiceServer[];
 }
 
-/** The end of a call that got its answer. */
+/** Result of a call that a server answered. */
 export function answered(
   answer: ServiceAnswer,
   options: { readonly repeated: boolean },
@@ -65,7 +65,7 @@
   return { kind: "answer", answer, repeated: options.repeated };
 }
 
-/** The end of a call that got none. */
+/** Result of a call without an answer. */
 export function failed(failure: CallFailure): ServiceCallResult {
   return { kind: "failed", failure };
 }
--- a/packages/calls/src/service_log.ts
+++ b/packages/calls/src/service_log.ts
@@ -1,11 +1,11 @@
-/** Log lines that calls of plain services share. */
+/** Log events for calls of plain services. */
 import type { ServiceResult } from "@rosemarypin/backends";
 import { createLogger } from "@rosemarypin/telemetry";
 import type { ServiceCall } from "./service_context.ts";
 
 const log = createLogger("service");
 
-/** A server did not answer a call. */
+/** Logs that a server did not answer a call. */
 export function logServerFailure(
   call: ServiceCall,
   options: {
@@ -21,12 +21,12 @@
   });
 }
 
-/** A claim could not be made durable, so its call was not sent. */
+/** Logs that a call was not sent because its claim is not durable. */
 export function logClaimFailure(call: ServiceCall, reason: string): void {
   log.warn("claim_failed", { request: call.requestId, reason });
 }
 
-/** The end of a call is still not recorded. */
-export function logSettleFailure(requestId: string, tries: number): void {
+/** Logs that an attempt to record the result of a call failed. */
+export function logRecordFailure(requestId: string, tries: number): void {
   log.warn("claim_not_settled", { request: requestId, tries });
 }
--- a/packages/calls/src/service_rules.ts
+++ b/packages/calls/src/service_rules.ts
@@ -1,4 +1,4 @@
-/** Which calls of a service may be made, and how two calls compare. */
+/** Permission checks and rules for calls, and fingerprints of requests. */
 import { createHash } from "node:crypto";
 import type { ServiceRequest } from "@rosemarypin/backends";
 import { type NoteKeeper, permitService } from "@rosemarypin/release";
@@ -10,14 +10,15 @@
   withdrawnBy,
 } from "./call_failure.ts";
 
-const NO_NOTE_RETRY_SECONDS = 2;
+const NO_NOTE_RETRY_AFTER_SECONDS = 2;
 
 /**
- * Why the release note does not allow the service, if so. An instance that
- * was frozen finds calls in its sockets before it hears of a recall: the note
- * is made sure of after any pause, not only looked at.
+ * Returns a failure if the release note does not permit the service, else
+ * `null`. After a freeze, an instance reads buffered calls from its sockets
+ * before it receives a recall, so the note is confirmed as current after any
+ * pause of the process.
  */
-export async function refuseByNote(
+export async function checkReleaseNote(
   service: string,
   keeper: Pick<NoteKeeper, "fresh">,
 ): Promise<CallFailure | null> {
@@ -25,7 +26,7 @@
   if (!record) {
     return notRun("no_release_note", {
       message: "this instance has no release note yet; try again",
-      retryAfterSeconds: NO_NOTE_RETRY_SECONDS,
+      retryAfterSeconds: NO_NOTE_RETRY_AFTER_SECONDS,
     });
   }
   const permission = permitService(record, service);
@@ -42,7 +43,7 @@
   });
 }
 
-/** The rule of the settings that a request falls under. */
+/** Returns the first rule in the settings that matches the request. */
 export function findRule(
   service: ServiceSettings,
   request: ServiceRequest,
@@ -53,15 +54,17 @@
   );
 }
 
-/** `*` in a rule stands for one segment of the path. */
+/** `*` in a pattern matches exactly one path segment. */
 function matches(pattern: string, path: string): boolean {
-  const wanted = pattern.split("/");
-  const given = path.split("/");
-  if (wanted.length !== given.length) return false;
-  return wanted.every((part, index) => part === "*" || part === given[index]);
+  const patternSegments = pattern.split("/");
+  const pathSegments = path.split("/");
+  if (patternSegments.length !== pathSegments.length) return false;
+  return patternSegments.every(
+    (part, index) => part === "*" || part === pathSegments[index],
+  );
 }
 
-/** Digest that tells another call by the same key. */
+/** Digest that detects a key that is reused for a different request. */
 export function fingerprintOf(request: ServiceRequest): string {
   return createHash("sha256")
     .update(`${request.method} ${request.path}\n`)
--- a/packages/calls/src/unknown_outcome.ts
+++ b/packages/calls/src/unknown_outcome.ts
@@ -1,19 +1,20 @@
-/** Calls whose end is not known, and how a service may still tell it. */
+/** Failures of calls with an unknown outcome, and look-ups at the service. */
 import type { ServiceAnswer, ServiceRequest } from "@rosemarypin/backends";
 import { type CallFailure, outcomeUnknown } from "./call_failure.ts";
 import type { ServiceCall, ServiceCallContext } from "./service_context.ts";
 
 const LOOKUP_TIMEOUT_MS = 1_000;
-const OK = 200;
+const HTTP_OK = 200;
 
 /**
- * Asks the service for the run of a key, where the settings say how.
+ * Looks up the result of an earlier call with the same key at the service, if
+ * the settings configure a look-up path. Returns `null` if none is found.
  *
- * Only a run that is found counts. One that is not found proves nothing: its
- * bytes may still wait in a frozen server, or its owner may be frozen just
+ * A look-up that finds nothing does not prove that the call will not run: its
+ * request may be buffered at a frozen server, or its owner may be frozen just
  * before sending. So a look-up never frees a key.
  */
-export async function findByLookup(
+export async function lookUpAnswer(
   call: ServiceCall,
   context: ServiceCallContext,
 ): Promise<ServiceAnswer | null> {
@@ -30,13 +31,14 @@
     const result = await context.fleet.send(server, request, {
       timeoutMs: LOOKUP_TIMEOUT_MS,
     });
-    const isFound = result.kind === "answer" && result.answer.status === OK;
+    const isFound =
+      result.kind === "answer" && result.answer.status === HTTP_OK;
     if (isFound) return result.answer;
   }
   return null;
 }
 
-/** Nobody can say whether the call ran. */
+/** It is unknown whether the call ran. */
 export function mayHaveRun(): CallFailure {
   return outcomeUnknown(
     "may_have_run",
@@ -44,7 +46,7 @@
   );
 }
 
-/** The first call by the key still runs, as its owner says. */
+/** The owner reports that the first call with the key is still running. */
 export function stillRunning(): CallFailure {
   return {
     ...outcomeUnknown(
@@ -55,7 +57,7 @@
   };
 }
 
-/** What is known of so old a key may have been removed. */
+/** The key has expired; the claim of an earlier call may be removed. */
 export function keyExpired(): CallFailure {
   const message =
     "the idempotency-key is older than a day; an earlier call by it may have run";
