--- a/packages/calls/src/at_most_once_call.ts
+++ b/packages/calls/src/at_most_once_call.ts
@@ -71,7 +71,7 @@
       context.metrics?.claims.inc({ service: call.service, result });
       return resolved.result;
     }
-    result = await claims.reuse(request, resolved.neverSent);
+    result = await claims.takeOver(request, resolved.unsentClaim);
   }
   const { kind } = result;
   context.metrics?.claims.inc({ service: call.service, result: kind });
@@ -93,7 +93,7 @@
   logClaimFailure(call, result.detail);
   return failed(
     notRun("claims_unavailable", {
-      message: "the call cannot be recorded now, so it was not sent",
+      message: "the call cannot be claimed now, so it was not sent",
       retryAfterSeconds: Math.max(1, Math.ceil(result.retryAfterMs / 1_000)),
     }),
   );
@@ -160,7 +160,7 @@
   release(claim, { call, context });
   return failed(
     notRun("no_server", {
-      message: `no server of '${call.service}' took the call; ask again`,
+      message: `no server of '${call.service}' accepted the call; retry it`,
       retryAfterSeconds: RETRY_AFTER_SECONDS,
     }),
   );
@@ -191,7 +191,7 @@
   },
 ): void {
   const { call, context } = options;
-  context.registry.endUnsent(call.requestId);
+  context.registry.settleNeverSent(call.requestId);
   context.ends.record(claim, { kind: "released" });
 }
 
@@ -209,7 +209,7 @@
   },
 ): void {
   const { call, context, state } = options;
-  context.registry.endSent(call.requestId, state);
+  context.registry.settle(call.requestId, state);
   context.ends.record(claim, state);
 }
 
@@ -229,7 +229,7 @@
 function keyMissing(call: ServiceCall): CallFailure {
   const { method, path } = call.request;
   return badCall("key_missing", {
-    message: `${method} ${path} may not be repeated; send an idempotency-key`,
+    message: `${method} ${path} is not idempotent; send an idempotency-key`,
     status: 400,
   });
 }
--- a/packages/calls/src/claim_registry.ts
+++ b/packages/calls/src/claim_registry.ts
@@ -19,9 +19,9 @@
   /** Marks the call as possibly running; called before it is sent. */
   markSending(requestId: string): void;
   /** Ends the call as one that was not and will not be sent. */
-  endUnsent(requestId: string): void;
+  settleNeverSent(requestId: string): void;
   /** Ends the call with the state that its claim gets. */
-  endSent(requestId: string, state: ClaimState): void;
+  settle(requestId: string, state: ClaimState): void;
   /**
    * Ends the call if it still counts as running, for example after an
    * exception: as unknown if it may have been sent, else as never sent.
@@ -35,8 +35,8 @@
 }
 
 interface Entry {
-  word: ClaimWord;
-  sending: boolean;
+  status: ClaimWord;
+  mayHaveRun: boolean;
   readonly waiters: Set<() => void>;
 }
 
@@ -47,24 +47,24 @@
   const entries = new Map<string, Entry>();
   let rememberedBytes = 0;
 
-  function end(requestId: string, word: ClaimWord): void {
+  function end(requestId: string, status: ClaimWord): void {
     const entry = entries.get(requestId);
-    if (entry?.word.kind !== "running") return;
-    entry.word = word;
-    rememberedBytes += sizeOf(word);
+    if (entry?.status.kind !== "running") return;
+    entry.status = status;
+    rememberedBytes += sizeOf(status);
     for (const wakeWaiter of entry.waiters) wakeWaiter();
     forgetOldest();
   }
 
   function forgetOldest(): void {
-    for (const [requestId, { word }] of entries) {
+    for (const [requestId, { status }] of entries) {
       const isFull =
         entries.size > MAX_REMEMBERED_CALLS ||
         rememberedBytes > MAX_REMEMBERED_BYTES;
       if (!isFull) return;
-      if (word.kind === "running") continue;
+      if (status.kind === "running") continue;
       entries.delete(requestId);
-      rememberedBytes -= sizeOf(word);
+      rememberedBytes -= sizeOf(status);
     }
   }
 
@@ -83,35 +83,38 @@
   return {
     begin(requestId) {
       entries.set(requestId, {
-        word: { kind: "running" },
-        sending: false,
+        status: { kind: "running" },
+        mayHaveRun: false,
         waiters: new Set(),
       });
     },
     markSending(requestId) {
       const entry = entries.get(requestId);
-      if (entry) entry.sending = true;
+      if (entry) entry.mayHaveRun = true;
     },
-    endUnsent: (requestId) => end(requestId, NEVER_SENT_STATUS),
-    endSent: (requestId, state) => end(requestId, { kind: "settled", state }),
+    settleNeverSent: (requestId) => end(requestId, NEVER_SENT_STATUS),
+    settle: (requestId, state) => end(requestId, { kind: "settled", state }),
     close(requestId) {
-      const sending = entries.get(requestId)?.sending ?? false;
+      const mayHaveRun = entries.get(requestId)?.mayHaveRun ?? false;
       const reason = "the instance failed while the call ran";
       const state: ClaimState = { kind: "unknown", reason };
-      end(requestId, sending ? { kind: "settled", state } : NEVER_SENT_STATUS);
+      end(
+        requestId,
+        mayHaveRun ? { kind: "settled", state } : NEVER_SENT_STATUS,
+      );
     },
     async ask({ incarnation, requestId, waitMs }) {
       const entry = entries.get(requestId);
       if (!entry || incarnation !== options.incarnation) {
         return { kind: "forgotten" };
       }
-      if (entry.word.kind === "running") await waitForEnd(entry, waitMs);
-      return entry.word;
+      if (entry.status.kind === "running") await waitForEnd(entry, waitMs);
+      return entry.status;
     },
   };
 }
 
-function sizeOf(word: ClaimWord): number {
-  if (word.kind !== "settled") return 0;
-  return word.state.kind === "answered" ? word.state.body.length : 0;
+function sizeOf(status: ClaimWord): number {
+  if (status.kind !== "settled") return 0;
+  return status.state.kind === "answered" ? status.state.body.length : 0;
 }
--- a/packages/calls/src/claim_registry_test.ts
+++ b/packages/calls/src/claim_registry_test.ts
@@ -14,7 +14,7 @@
     registry.begin("runs");
     for (let count = 0; count < 20; count++) {
       registry.begin(`r${count}`);
-      registry.endSent(`r${count}`, answered(MEGABYTE));
+      registry.settle(`r${count}`, answered(MEGABYTE));
     }
     const ask = async (requestId: string) => {
       const question = { requestId, incarnation: 1, waitMs: 0 };
@@ -29,7 +29,7 @@
   it("reports a claim of an earlier process as forgotten", async () => {
     const registry = createClaimRegistry({ incarnation: 2 });
     registry.begin("r1");
-    registry.endUnsent("r1");
+    registry.settleNeverSent("r1");
     const question = { requestId: "r1", incarnation: 1, waitMs: 0 };
     expect(await registry.ask(question)).toEqual({ kind: "forgotten" });
   });
--- a/packages/calls/src/claim_store.ts
+++ b/packages/calls/src/claim_store.ts
@@ -42,7 +42,7 @@
 export interface ClaimStore {
   claim(request: ClaimRequest): Promise<ClaimResult>;
   /** Takes over a claim whose owner reported that it never sent the call. */
-  reuse(request: ClaimRequest, neverSent: Claim): Promise<ClaimResult>;
+  takeOver(request: ClaimRequest, unsentClaim: Claim): Promise<ClaimResult>;
   read(claim: Claim): Promise<ClaimReading>;
   /**
    * Records the state of the call unless the claim has changed since it was
--- a/packages/calls/src/claim_store_breaker.ts
+++ b/packages/calls/src/claim_store_breaker.ts
@@ -8,11 +8,11 @@
    * Returns 0 if the caller may write now, else the time until the next probe.
    * While the breaker is open, a caller that gets 0 is the probe.
    */
-  waitMs(): number;
+  admit(): number;
   /** Delay to report to a caller whose write failed. */
-  readonly retryMs: number;
-  succeeded(): void;
-  failed(): void;
+  readonly retryAfterMs: number;
+  recordSuccess(): void;
+  recordFailure(): void;
 }
 
 /**
@@ -28,18 +28,18 @@
   let openUntil = Number.NEGATIVE_INFINITY;
 
   return {
-    retryMs: PROBE_INTERVAL_MS,
-    waitMs() {
+    retryAfterMs: PROBE_INTERVAL_MS,
+    admit() {
       if (consecutiveFailures < FAILURES_TO_OPEN) return 0;
       const now = performance.now();
       if (now < openUntil) return Math.ceil(openUntil - now);
       openUntil = now + PROBE_INTERVAL_MS;
       return 0;
     },
-    succeeded() {
+    recordSuccess() {
       consecutiveFailures = 0;
     },
-    failed() {
+    recordFailure() {
       consecutiveFailures += 1;
       openUntil = performance.now() + PROBE_INTERVAL_MS;
     },
--- a/packages/calls/src/duplicate_call.ts
+++ b/packages/calls/src/duplicate_call.ts
@@ -19,7 +19,7 @@
 export type ExistingClaimOutcome =
   | { readonly kind: "ended"; readonly result: ServiceCallResult }
   /** The claim may be taken over: its owner never sent the call. */
-  | { readonly kind: "free"; readonly neverSent: Claim };
+  | { readonly kind: "free"; readonly unsentClaim: Claim };
 
 interface DuplicateCall {
   readonly context: ServiceCallContext;
@@ -48,7 +48,7 @@
   }
   switch (state) {
     case "free":
-      return { kind: "free", neverSent: claim };
+      return { kind: "free", unsentClaim: claim };
     case "running":
       return endedWith(failed(stillRunning()));
     default:
@@ -124,7 +124,7 @@
 
 function keyReused(): CallFailure {
   return badCall("key_reused", {
-    message: "the idempotency-key was used for another call; use a new one",
+    message: "the idempotency-key was used for a different call; use a new one",
     status: 422,
   });
 }
--- a/packages/calls/src/idempotent_call.ts
+++ b/packages/calls/src/idempotent_call.ts
@@ -22,11 +22,11 @@
   const { service, budget, fleet } = context;
   let mayHaveRun = false;
   let attempts = 0;
-  budget.earn();
+  budget.countCall();
   for (const server of context.servers()) {
     const leftMs = call.deadlineAt - Date.now();
     if (leftMs <= 0) break;
-    if (attempts > 0 && !budget.spend()) break;
+    if (attempts > 0 && !budget.take()) break;
     attempts += 1;
     const result = await fleet.send(server, call.request, {
       timeoutMs: Math.min(service.timeoutMs, leftMs),
@@ -37,7 +37,7 @@
     mayHaveRun ||= result.kind === "broken";
     logServerFailure(call, { server: server.id, result });
   }
-  const message = `no server of '${call.service}' answered; ask again`;
+  const message = `no server of '${call.service}' answered; retry the call`;
   const retryAfterSeconds = RETRY_AFTER_SECONDS;
   return failed(
     mayHaveRun
--- a/packages/calls/src/object_claim_store.ts
+++ b/packages/calls/src/object_claim_store.ts
@@ -70,8 +70,8 @@
     request: ClaimRequest,
     initialVersion: number | null,
   ): Promise<ClaimResult> {
-    const waitMs = breaker.waitMs();
-    if (waitMs > 0) return unavailable("the store is away", waitMs);
+    const waitMs = breaker.admit();
+    if (waitMs > 0) return unavailable("the store is unavailable", waitMs);
     const key = objectKeyOf(request);
     const object = newObject(request);
     let expectedVersion = initialVersion;
@@ -84,7 +84,7 @@
         longestWaitMs: MAX_CLAIM_WAIT_MS,
       });
       if (written.kind === "ok") {
-        breaker.succeeded();
+        breaker.recordSuccess();
         const version = written.value;
         return { kind: "claimed", claim: { key, object, version } };
       }
@@ -93,10 +93,10 @@
         continue;
       }
       if (written.kind !== "conflict") return unavailableAfter(written);
-      breaker.succeeded();
+      breaker.recordSuccess();
       const existing = parseClaim(written.actual);
       if (written.actual !== null && !existing) {
-        return unavailable("the claim could not be read", breaker.retryMs);
+        return unavailable("the claim could not be read", breaker.retryAfterMs);
       }
       if (existing && !isReusable(existing, object)) {
         return isSameRequest(existing, object)
@@ -105,16 +105,19 @@
       }
       expectedVersion = existing?.version ?? null;
     }
-    breaker.failed();
-    return unavailable(detail, breaker.retryMs);
+    breaker.recordFailure();
+    return unavailable(detail, breaker.retryAfterMs);
   }
 
   function unavailableAfter(failure: StoreFailure): ClaimResult {
     if (failure.kind === "over_budget") {
-      return unavailable("the budget of store calls", failure.retryAfterMs);
+      return unavailable(
+        "the budget of store calls is used up",
+        failure.retryAfterMs,
+      );
     }
-    breaker.failed();
-    return unavailable(failure.kind, breaker.retryMs);
+    breaker.recordFailure();
+    return unavailable(failure.kind, breaker.retryAfterMs);
   }
 
   async function settle(claim: Claim, state: ClaimState): Promise<boolean> {
@@ -139,7 +142,8 @@
 
   return {
     claim: (request) => writeClaim(request, null),
-    reuse: (request, neverSent) => writeClaim(request, neverSent.version),
+    takeOver: (request, unsentClaim) =>
+      writeClaim(request, unsentClaim.version),
     read,
     settle,
   };
--- a/packages/calls/src/result_recorder.ts
+++ b/packages/calls/src/result_recorder.ts
@@ -13,14 +13,14 @@
 const MAX_ADOPTED_RESULTS = 1_000;
 
 /** Sends a result to another instance; resolves to whether it accepted. */
-export type GiveEnd = (end: ClaimEnd) => Promise<boolean>;
+export type GiveEnd = (result: ClaimEnd) => Promise<boolean>;
 
 /** Retries until each result is recorded or its retry period is over. */
 export interface EndRecorder {
   /** Starts to record the result of a call that this instance handled. */
   record(claim: Claim, state: ClaimState): void;
   /** Accepts a result of a stopping instance; returns `false` when full. */
-  adopt(end: ClaimEnd): boolean;
+  adopt(result: ClaimEnd): boolean;
   /** Number of results that are not recorded yet. */
   count(): number;
   /** Resolves when no result is pending, or after `withinMs`. */
@@ -33,8 +33,8 @@
 }
 
 interface PendingResult {
-  readonly end: ClaimEnd;
-  readonly given: AbortController;
+  readonly result: ClaimEnd;
+  readonly handedOver: AbortController;
 }
 
 /**
@@ -52,22 +52,22 @@
   let adoptedCount = 0;
 
   async function recordWithRetries({
-    end,
-    given,
+    result,
+    handedOver,
   }: PendingResult): Promise<void> {
-    const { state, ...claim } = end;
+    const { state, ...claim } = result;
     const retryUntil = performance.now() + MAX_RETRY_DURATION_MS;
     for (let attempts = 1; performance.now() < retryUntil; attempts++) {
       const isRecorded = await options.claims.settle(claim, state);
-      if (isRecorded || given.signal.aborted) return;
+      if (isRecorded || handedOver.signal.aborted) return;
       logRecordFailure(claim.object.requestId, attempts);
-      await pause(RETRY_INTERVAL_MS, given.signal);
-      if (given.signal.aborted) return;
+      await pause(RETRY_INTERVAL_MS, handedOver.signal);
+      if (handedOver.signal.aborted) return;
     }
   }
 
-  async function startRecording(end: ClaimEnd): Promise<void> {
-    const entry = { end, given: new AbortController() };
+  async function startRecording(result: ClaimEnd): Promise<void> {
+    const entry = { result, handedOver: new AbortController() };
     pending.add(entry);
     try {
       await recordWithRetries(entry);
@@ -81,10 +81,10 @@
     record(claim, state) {
       void startRecording({ ...claim, state });
     },
-    adopt(end) {
+    adopt(result) {
       if (adoptedCount >= MAX_ADOPTED_RESULTS) return false;
       adoptedCount += 1;
-      void startRecording(end).finally(() => {
+      void startRecording(result).finally(() => {
         adoptedCount -= 1;
       });
       return true;
@@ -100,8 +100,8 @@
     },
     async handOver(give) {
       for (const entry of [...pending]) {
-        if (!(await give(entry.end))) continue;
-        entry.given.abort();
+        if (!(await give(entry.result))) continue;
+        entry.handedOver.abort();
         pending.delete(entry);
       }
       return pending.size;
--- a/packages/calls/src/retry_budget.ts
+++ b/packages/calls/src/retry_budget.ts
@@ -5,9 +5,9 @@
 
 export interface RetryBudget {
   /** Adds the share of a retry that a new call earns. */
-  earn(): void;
+  countCall(): void;
   /** Takes one retry from the budget; returns `false` if there is none. */
-  spend(): boolean;
+  take(): boolean;
 }
 
 /**
@@ -20,13 +20,13 @@
 export function createRetryBudget(): RetryBudget {
   let savedRetries = MAX_SAVED_RETRIES;
   return {
-    earn() {
+    countCall() {
       savedRetries = Math.min(
         MAX_SAVED_RETRIES,
         savedRetries + RETRIES_PER_CALL,
       );
     },
-    spend() {
+    take() {
       if (savedRetries < 1) return false;
       savedRetries -= 1;
       return true;
--- a/packages/calls/src/service_call.ts
+++ b/packages/calls/src/service_call.ts
@@ -53,7 +53,7 @@
 function unknownCallFailure(call: ServiceCall): CallFailure {
   const { method, path } = call.request;
   return badCall("unknown_call", {
-    message: `the settings of '${call.service}' have no ${method} ${path}`,
+    message: `the settings of '${call.service}' define no call ${method} ${path}`,
     status: 404,
   });
 }
--- a/packages/calls/src/service_rules.ts
+++ b/packages/calls/src/service_rules.ts
@@ -25,7 +25,7 @@
   const record = await keeper.fresh();
   if (!record) {
     return notRun("no_release_note", {
-      message: "this instance has no release note yet; try again",
+      message: "this instance has no release note yet; retry later",
       retryAfterSeconds: NO_NOTE_RETRY_AFTER_SECONDS,
     });
   }
--- a/packages/calls/src/unknown_outcome.ts
+++ b/packages/calls/src/unknown_outcome.ts
@@ -42,7 +42,7 @@
 export function mayHaveRun(): CallFailure {
   return outcomeUnknown(
     "may_have_run",
-    "the call may have run and is not repeated; check with the service",
+    "the call may have run and is not retried; check with the service",
   );
 }
 
@@ -51,7 +51,7 @@
   return {
     ...outcomeUnknown(
       "still_running",
-      "the first call by this key still runs; ask again with the same key",
+      "the first call with this key is still running; retry with the same key",
     ),
     retryAfterSeconds: 1,
   };
@@ -60,6 +60,6 @@
 /** The key has expired; the claim of an earlier call may be removed. */
 export function keyExpired(): CallFailure {
   const message =
-    "the idempotency-key is older than a day; an earlier call by it may have run";
+    "the idempotency-key is older than a day; an earlier call with it may have run";
   return { ...outcomeUnknown("key_expired", message), status: 422 };
 }
