--- a/packages/timing/src/alarm.ts
+++ b/packages/timing/src/alarm.ts
@@ -1,9 +1,9 @@
-/** A wait that others may end before its time. */
+/** A delay that can be ended early. */
 
 export interface Alarm {
-  /** Ends the wait that is on; does nothing without one. */
+  /** Ends the current wait; does nothing if there is none. */
   ring(): void;
-  /** Resolves after `longestMs`, when it rings, or when the signal aborts. */
+  /** Resolves after `longestMs`, on `ring`, or when the signal is aborted. */
   wait(longestMs: number, signal: AbortSignal): Promise<void>;
 }
 
--- a/packages/timing/src/alarm_test.ts
+++ b/packages/timing/src/alarm_test.ts
@@ -3,7 +3,7 @@
 
 const RUNNING = new AbortController().signal;
 
-describe("an alarm", () => {
+describe("alarm", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -11,7 +11,7 @@
     vi.useRealTimers();
   });
 
-  it("ends a wait when its time is over", async () => {
+  it("ends a wait after its time", async () => {
     const ended = vi.fn();
     void createAlarm().wait(100, RUNNING).then(ended);
     await vi.advanceTimersByTimeAsync(99);
@@ -20,7 +20,7 @@
     expect(ended).toHaveBeenCalledOnce();
   });
 
-  it("ends a wait when it rings, and leaves no timer", async () => {
+  it("ends a wait on ring and leaves no timer", async () => {
     const alarm = createAlarm();
     const waiting = alarm.wait(100, RUNNING);
     alarm.ring();
@@ -28,7 +28,7 @@
     expect(vi.getTimerCount()).toBe(0);
   });
 
-  it("does not keep a ring for the next wait", async () => {
+  it("ignores a ring before the wait", async () => {
     const alarm = createAlarm();
     alarm.ring();
     const ended = vi.fn();
@@ -37,7 +37,7 @@
     expect(ended).not.toHaveBeenCalled();
   });
 
-  it("does not wait for an aborted signal", async () => {
+  it("does not wait if the signal is already aborted", async () => {
     await createAlarm().wait(100, AbortSignal.abort());
     expect(vi.getTimerCount()).toBe(0);
   });
--- a/packages/timing/src/mod.ts
+++ b/packages/timing/src/mod.ts
@@ -1,3 +1,3 @@
-/** Waiting by the runtime's clock. */
+/** Delays based on the runtime's timers. */
 export * from "./alarm.ts";
 export * from "./pause.ts";
--- a/packages/timing/src/pause.ts
+++ b/packages/timing/src/pause.ts
@@ -1,4 +1,4 @@
-/** Waiting for a while, by the timers that tests pause and advance. */
+/** Cancellable delay, based on `setTimeout` so that tests can fake it. */
 
 /** Resolves after `durationMs`, or as soon as the signal is aborted. */
 export function pause(durationMs: number, signal?: AbortSignal): Promise<void> {
--- a/packages/timing/src/pause_test.ts
+++ b/packages/timing/src/pause_test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { pause } from "./pause.ts";
 
-describe("a pause", () => {
+describe("pause", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -9,7 +9,7 @@
     vi.useRealTimers();
   });
 
-  it("ends when its time is over", async () => {
+  it("resolves after its time", async () => {
     const ended = vi.fn();
     void pause(100).then(ended);
     await vi.advanceTimersByTimeAsync(99);
@@ -18,7 +18,7 @@
     expect(ended).toHaveBeenCalledOnce();
   });
 
-  it("ends early, and leaves no timer, when its signal is aborted", async () => {
+  it("resolves early and leaves no timer when its signal is aborted", async () => {
     const stop = new AbortController();
     const waiting = pause(100, stop.signal);
     stop.abort();
@@ -26,7 +26,7 @@
     expect(vi.getTimerCount()).toBe(0);
   });
 
-  it("does not begin when its signal was aborted before", async () => {
+  it("sets no timer if its signal is already aborted", async () => {
     await pause(100, AbortSignal.abort());
     expect(vi.getTimerCount()).toBe(0);
   });
