--- a/packages/store/src/call_budget.ts
+++ b/packages/store/src/call_budget.ts
@@ -1,26 +1,27 @@
-/** Counts calls against a rate. */
+/** Token bucket for store calls, with reserves for urgent calls. */
 
 /**
- * What a call is for, the most urgent first: notes and leases; the end of
- * callers' work that ran; callers' work that has not begun and can be refused.
+ * Urgency of a call, in descending order: `control` for notes and leases,
+ * `finish` for results of callers' work that ran, `begin` for callers' work
+ * that has not started and can still be refused.
  */
 export type CallUrgency = "control" | "finish" | "begin";
 
-/** The calls that one instance may make. */
+/** Limits the rate of store calls of one instance. */
 export interface CallBudget {
-  /** Calls that are added each second. */
+  /** Refill rate. */
   readonly callsPerSecond: number;
   /**
-   * Takes one call, or gives the wait in milliseconds until one is free.
-   * Less urgent calls leave a reserve for the more urgent ones.
+   * Takes one call and returns 0, or returns the time in milliseconds until a
+   * call is available. Less urgent calls leave a reserve for more urgent ones.
    */
   take(options: { readonly urgency: CallUrgency }): number;
 }
 
 /**
- * Shares of a full budget that calls leave alone. Without that of callers'
- * work a flood of orders used up every call, and a recall was refused as if
- * the store were away.
+ * Share of the capacity that calls of each urgency must leave unused. Without
+ * a reserve, a flood of orders would exhaust the budget, and a recall would be
+ * refused as if the store were unreachable.
  */
 const RESERVED_SHARES: Readonly<Record<CallUrgency, number>> = {
   control: 0,
@@ -28,23 +29,23 @@
   begin: 0.25,
 };
 
-/** Creates a budget that fills at a rate; a second's worth may be saved. */
+/** Creates a full budget whose capacity is the calls of one second. */
 export function createCallBudget(callsPerSecond: number): CallBudget {
-  const most = Math.max(1, callsPerSecond);
-  let left = most;
+  const capacity = Math.max(1, callsPerSecond);
+  let available = capacity;
   let filledAt = performance.now();
   return {
     callsPerSecond,
     take({ urgency }) {
-      const least = 1 + most * RESERVED_SHARES[urgency];
+      const required = 1 + capacity * RESERVED_SHARES[urgency];
       const now = performance.now();
-      const filled = left + ((now - filledAt) / 1_000) * callsPerSecond;
-      left = Math.min(most, filled);
+      const refilled = available + ((now - filledAt) / 1_000) * callsPerSecond;
+      available = Math.min(capacity, refilled);
       filledAt = now;
-      if (left < least) {
-        return Math.ceil(((least - left) / callsPerSecond) * 1_000);
+      if (available < required) {
+        return Math.ceil(((required - available) / callsPerSecond) * 1_000);
       }
-      left -= 1;
+      available -= 1;
       return 0;
     },
   };
--- a/packages/store/src/call_budget_test.ts
+++ b/packages/store/src/call_budget_test.ts
@@ -1,7 +1,7 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { createCallBudget } from "./call_budget.ts";
 
-describe("the budget of store calls", () => {
+describe("store call budget", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -9,17 +9,17 @@
     vi.useRealTimers();
   });
 
-  it("keeps calls for a recall while orders use up the rest", () => {
-    // Orders come faster than the store may be called, one claim each. An
-    // operator recalls a batch in that moment; with nothing left, the recall
-    // was refused as if the store were away (first soak, seed 1).
+  it("reserves calls for a recall while orders exhaust the rest", () => {
+    // Orders arrive faster than the budget allows, each with one claim. If
+    // they could exhaust it, a recall at that moment would be refused as if
+    // the store were unreachable.
     const budget = createCallBudget(40);
     while (budget.take({ urgency: "begin" }) === 0);
     expect(budget.take({ urgency: "begin" })).toBeGreaterThan(0);
     expect(budget.take({ urgency: "control" })).toBe(0);
   });
 
-  it("says how long until a call is free, and then gives it", () => {
+  it("reports the wait for the next call and then grants it", () => {
     const budget = createCallBudget(10);
     while (budget.take({ urgency: "control" }) === 0);
     const waitMs = budget.take({ urgency: "control" });
@@ -28,7 +28,7 @@
     expect(budget.take({ urgency: "control" })).toBe(0);
   });
 
-  it("lets callers' work go on at its own rate once it has filled", () => {
+  it("grants callers' work again after it has refilled", () => {
     const budget = createCallBudget(40);
     while (budget.take({ urgency: "control" }) === 0);
     vi.advanceTimersByTime(1_000);
--- a/packages/store/src/follow_objects.ts
+++ b/packages/store/src/follow_objects.ts
@@ -1,4 +1,4 @@
-/** Follows the objects below a prefix, over breaks of the watch. */
+/** Follows the objects under a prefix and resumes failed watches. */
 import { pause } from "@rosemarypin/timing";
 import { fullJitterMs } from "./full_jitter.ts";
 import type {
@@ -8,60 +8,61 @@
   StoreFailure,
 } from "./object_store.ts";
 
-const JITTER = { firstMs: 100, largestMs: 5_000 } as const;
-/** A watch may skip a change; reading all anew now and then finds it. */
-const READ_ALL_EVERY_MS = 60_000;
+const RETRY_BACKOFF = { firstMs: 100, largestMs: 5_000 } as const;
+/** A watch may miss a change; periodic full reads find it. */
+const FULL_READ_INTERVAL_MS = 60_000;
 
 export interface FollowOptions {
   /** Called once for each version of an object, never for an older one. */
   readonly onObject: (object: StoredObject) => void;
-  /** Called after each answer of the store. */
+  /** Called after each successful reply of the store. */
   readonly onContact?: () => void;
   readonly signal: AbortSignal;
 }
 
 /**
- * Watches until the signal ends it. A watch may skip versions, repeat them
- * or bring them out of order; each key's highest version that was passed on
- * decides what is new, and not the order in which the watch tells it.
+ * Watches objects until the signal is aborted. A watch may skip, repeat or
+ * reorder versions, so an object is reported only if its version is higher than
+ * the last reported version of its key.
  */
 export async function followObjects(
   store: ObjectStore,
   prefix: string,
   { onObject, onContact, signal }: FollowOptions,
 ): Promise<void> {
-  const passedOn = new Map<string, number>();
+  const reportedVersions = new Map<string, number>();
   let since: Revision = 0;
-  let allReadAt = -Infinity;
+  let lastFullReadAt = -Infinity;
   let failures = 0;
 
   while (!signal.aborted) {
-    const readsAll = performance.now() - allReadAt >= READ_ALL_EVERY_MS;
-    const from = readsAll ? 0 : since;
+    const isFullRead =
+      performance.now() - lastFullReadAt >= FULL_READ_INTERVAL_MS;
+    const from = isFullRead ? 0 : since;
     const result = await store.watch(prefix, { since: from, signal });
     if (signal.aborted) return;
     if (result.kind !== "ok") {
       failures += 1;
-      await pause(waitMs(result, failures), signal);
+      await pause(retryDelayMs(result, failures), signal);
       continue;
     }
     failures = 0;
-    if (readsAll) allReadAt = performance.now();
-    // An answer from a store that lags must not lead the watch back.
+    if (isFullRead) lastFullReadAt = performance.now();
+    // A reply from a stale replica must not move the position backwards.
     since = Math.max(since, result.value.revision);
     onContact?.();
-    for (const object of result.value.objects) passOn(object);
+    for (const object of result.value.objects) reportIfNewer(object);
   }
 
-  function passOn(object: StoredObject): void {
-    const last = passedOn.get(object.key) ?? -Infinity;
-    if (object.version <= last) return;
-    passedOn.set(object.key, object.version);
+  function reportIfNewer(object: StoredObject): void {
+    const reportedVersion = reportedVersions.get(object.key) ?? -Infinity;
+    if (object.version <= reportedVersion) return;
+    reportedVersions.set(object.key, object.version);
     onObject(object);
   }
 }
 
-function waitMs(failure: StoreFailure, failures: number): number {
+function retryDelayMs(failure: StoreFailure, failures: number): number {
   if (failure.kind === "over_budget") return failure.retryAfterMs;
-  return fullJitterMs(failures, JITTER);
+  return fullJitterMs(failures, RETRY_BACKOFF);
 }
--- a/packages/store/src/follow_objects_test.ts
+++ b/packages/store/src/follow_objects_test.ts
@@ -26,15 +26,15 @@
 
 const BROKEN: StoreResult<WatchBatch> = { kind: "unavailable", detail: "cut" };
 
-/** A store whose watch gives the answers in turn, then waits. */
+/** Follows a store whose watch returns the answers in turn, then blocks. */
 async function follow(answers: readonly StoreResult<WatchBatch>[]) {
   const stopping = new AbortController();
-  const left = [...answers];
-  const asked: number[] = [];
-  const seen: number[] = [];
+  const remaining = [...answers];
+  const sinceRevisions: number[] = [];
+  const reported: number[] = [];
   const watch: ObjectStore["watch"] = async (_, { since, signal }) => {
-    asked.push(since);
-    const next = left.shift();
+    sinceRevisions.push(since);
+    const next = remaining.shift();
     if (next) return next;
     await new Promise((resolve) => signal?.addEventListener("abort", resolve));
     return BROKEN;
@@ -48,57 +48,58 @@
     watch,
   };
   const ended = followObjects(store, KEY, {
-    onObject: ({ version }) => void seen.push(version),
+    onObject: ({ version }) => void reported.push(version),
     signal: stopping.signal,
   });
   await vi.advanceTimersByTimeAsync(30_000);
   stopping.abort();
   await ended;
-  return { asked, seen };
+  return { sinceRevisions, reported };
 }
 
-// A recall is published while the watch misbehaves. Were an older version
-// passed on after a newer one, an instance would go back to the faulty batch;
-// were the watch begun anew after each break, the store would be swamped.
+// A recall is published while the watch is faulty. If an older version were
+// reported after a newer one, an instance would return to the recalled version;
+// if each break restarted the watch from 0, the store would be overloaded.
 it.each([
   {
-    story: "goes on after a break where it was",
+    title: "followObjects resumes a failed watch at its last position",
     answers: [batch(1, [1]), BROKEN, BROKEN, batch(2, [2])],
-    seen: [1, 2],
-    asked: [0, 1, 1, 1, 2],
+    reported: [1, 2],
+    sinceRevisions: [0, 1, 1, 1, 2],
   },
   {
-    story: "passes a repeated version on once",
+    title: "followObjects reports a repeated version once",
     answers: [batch(1, [1]), batch(1, [1]), batch(2, [1, 2])],
-    seen: [1, 2],
-    asked: [0, 1, 1, 2],
+    reported: [1, 2],
+    sinceRevisions: [0, 1, 1, 2],
   },
   {
-    story: "never goes back to a version out of order",
+    title: "followObjects ignores an older version that arrives late",
     answers: [batch(3, [3]), batch(4, [2])],
-    seen: [3],
-    asked: [0, 3, 4],
+    reported: [3],
+    sinceRevisions: [0, 3, 4],
   },
   {
-    story: "is not led back by a store that lags",
+    title:
+      "followObjects does not move back to the position of a stale replica",
     answers: [batch(5, [5]), batch(2, []), batch(6, [6])],
-    seen: [5, 6],
-    asked: [0, 5, 5, 6],
+    reported: [5, 6],
+    sinceRevisions: [0, 5, 5, 6],
   },
-])("$story", async ({ answers, seen, asked }) => {
-  expect(await follow(answers)).toEqual({ seen, asked });
+])("$title", async ({ answers, reported, sinceRevisions }) => {
+  expect(await follow(answers)).toEqual({ reported, sinceRevisions });
 });
 
-// The store's watch skips the change that recalls a batch: the position moves
-// on, the object is never told. Reading all anew once a minute finds it.
-it("finds a change that the watch skipped", async () => {
+// The store's watch skips the change that recalls a version: the position
+// advances, but the object is not returned. A full read each minute finds it.
+it("followObjects finds a change that the watch skipped", async () => {
   const quiet = Array.from({ length: 4 }, () => batch(2, []));
-  const seen: number[] = [];
+  const reported: number[] = [];
   const answers = [batch(1, [1]), ...quiet];
   const stopping = new AbortController();
   const watch: ObjectStore["watch"] = async (_, { since }) => {
     await new Promise((resolve) => setTimeout(resolve, 25_000));
-    return since === 0 && seen.length > 0
+    return since === 0 && reported.length > 0
       ? batch(2, [2])
       : (answers.shift() ?? batch(2, []));
   };
@@ -111,10 +112,10 @@
     watch,
   };
   void followObjects(store, KEY, {
-    onObject: ({ version }) => void seen.push(version),
+    onObject: ({ version }) => void reported.push(version),
     signal: stopping.signal,
   });
   await vi.advanceTimersByTimeAsync(150_000);
   stopping.abort();
-  expect(seen).toEqual([1, 2]);
+  expect(reported).toEqual([1, 2]);
 });
--- a/packages/store/src/full_jitter.ts
+++ b/packages/store/src/full_jitter.ts
@@ -1,14 +1,15 @@
-/** Waiting times that keep many clients from coming back in step. */
+/** Exponential backoff with full jitter, against synchronised retries. */
 
-/** How a wait grows with the failures in a row. */
+/** Bounds of the backoff. */
 export interface JitterOptions {
   readonly firstMs: number;
   readonly largestMs: number;
 }
 
 /**
- * A random part of a cap that doubles with each failure. The whole wait is
- * random: clients that failed at the same moment spread over all of it.
+ * Returns a random delay from 0 to a cap that doubles with each consecutive
+ * failure. The whole delay is random, so that clients which failed at the same
+ * moment spread their retries over all of it.
  */
 export function fullJitterMs(
   failures: number,
--- a/packages/store/src/guarded_object_store.ts
+++ b/packages/store/src/guarded_object_store.ts
@@ -1,7 +1,7 @@
-/** Keeps the calls of one instance within bounds, whatever carries them. */
+/** Rate limit and circuit breaker around any client of the object API. */
 import type { Metrics } from "@rosemarypin/telemetry";
 import { createCallBudget } from "./call_budget.ts";
-import { createCallTurns } from "./call_turns.ts";
+import { createCallQueue } from "./call_queue.ts";
 import type {
   ObjectStore,
   StoreCallOptions,
@@ -9,33 +9,33 @@
 } from "./object_store.ts";
 import { createStoreBreaker } from "./store_breaker.ts";
 
-/** Read to find out whether the store is back; need not exist. */
+/** Object that probes read; it need not exist. */
 const PROBE_KEY = "rosemarypin/probe";
 
 export interface GuardedObjectStoreOptions {
   /** The client that sends the calls. */
   readonly client: ObjectStore;
-  /** Calls a second, on average; a second's worth may go at once. */
+  /** Average rate; a burst may have the size of one second's calls. */
   readonly callsPerSecond: number;
-  /** Size of the fleet, over which returns to the store are spread. */
+  /** Size of the fleet; probes are spread out accordingly. */
   readonly instances?: () => number;
   readonly metrics?: Metrics;
 }
 
 /**
- * Creates a client whose calls share one budget, wait for their turn by their
- * urgency, and stay away from a store that does not answer.
+ * Creates a client whose calls share one budget, queue by urgency, and fail
+ * fast while the store does not respond.
  */
 export function createGuardedObjectStore(
   options: GuardedObjectStoreOptions,
 ): ObjectStore {
   const { client } = options;
-  const turns = createCallTurns(createCallBudget(options.callsPerSecond));
+  const queue = createCallQueue(createCallBudget(options.callsPerSecond));
   const breaker = createStoreBreaker({
     instances: options.instances ?? (() => 1),
     probe: async () => {
       const result = await client.read(PROBE_KEY);
-      count("probe", result.kind);
+      countCall("probe", result.kind);
       return result;
     },
   });
@@ -45,29 +45,29 @@
     callOptions: StoreCallOptions,
     send: () => Promise<StoreResult<T>>,
   ): Promise<StoreResult<T>> {
-    if (!(await breaker.admits())) return notSent(operation);
-    const waitMs = await turns.take({
+    if (!(await breaker.admits())) return refusedByBreaker(operation);
+    const waitMs = await queue.take({
       urgency: callOptions.urgency ?? "control",
       longestWaitMs: callOptions.longestWaitMs ?? 0,
     });
     if (waitMs > 0) {
-      count(operation, "over_budget");
+      countCall(operation, "over_budget");
       return { kind: "over_budget", retryAfterMs: waitMs };
     }
-    // The store may have gone away during a long wait for the turn; a write
-    // must not be what finds out whether it is back.
-    if (!(await breaker.admits())) return notSent(operation);
+    // The store may have become unreachable while the call was queued. Only a
+    // probe may test whether it has recovered, never a write.
+    if (!(await breaker.admits())) return refusedByBreaker(operation);
     const result = await breaker.run(send);
-    count(operation, result.kind);
+    countCall(operation, result.kind);
     return result;
   }
 
-  function notSent(operation: string): StoreResult<never> {
-    count(operation, "not_sent");
+  function refusedByBreaker(operation: string): StoreResult<never> {
+    countCall(operation, "not_sent");
     return { kind: "unavailable", detail: "the store is away; not sent" };
   }
 
-  function count(operation: string, result: string): void {
+  function countCall(operation: string, result: string): void {
     options.metrics?.storeCalls.inc({ operation, result });
   }
 
--- a/packages/store/src/instance_list.ts
+++ b/packages/store/src/instance_list.ts
@@ -1,4 +1,4 @@
-/** The platform's list of live and leaving instances: a hint that lags. */
+/** Client of the platform's instance list, which may be stale. */
 import {
   type Address,
   addressSchema,
@@ -9,7 +9,7 @@
 
 const TIMEOUT_MS = 2_000;
 
-/** Reads the list once; `null` when it cannot be had. */
+/** Reads the list once; resolves to `null` if that fails. */
 export async function readInstanceList(
   url: string,
 ): Promise<InstanceList | null> {
@@ -25,9 +25,9 @@
 }
 
 /**
- * Peers' addresses of live entry instances in the list. The list lags, so an
- * entry is an address to try and never a reason to hold anyone for alive,
- * dead or leaving.
+ * Returns the peer addresses of live entry instances in the list. As the list
+ * may be stale, these are only addresses to contact; they say nothing reliable
+ * about which instances are alive, dead or leaving.
  */
 export async function readPeerHints(
   url: string | undefined,
--- a/packages/store/src/instance_list_test.ts
+++ b/packages/store/src/instance_list_test.ts
@@ -40,8 +40,8 @@
   state: "leaving",
 };
 
-describe("the list of instances", () => {
-  it("shows a change after its lag", async () => {
+describe("readInstanceList", () => {
+  it("returns a change after the lag of the list", async () => {
     const initial: InstanceList = { instances: [] };
     const options = { host: HOST, port: 0, lagMs: 100, initial };
     const server = await startInstanceList(options);
@@ -57,7 +57,7 @@
     expect(await readInstanceList(url)).toEqual(next);
   });
 
-  /** A list that cannot be had changes nothing; an empty one would. */
+  /** A failed read must not be taken for an empty list. */
   const rows: [string, (response: ServerResponse) => void][] = [
     ["500", (response) => response.writeHead(500).end('{"error":"down"}')],
     ["garbage", (response) => response.end("no json")],
@@ -65,7 +65,7 @@
     ["half an answer", (response) => halfAnswer(response)],
     ["reset", (response) => response.destroy()],
   ];
-  it.each(rows)("is not known after %s", async (_what, answer) => {
+  it.each(rows)("returns null after %s", async (_what, answer) => {
     expect(await readInstanceList(await startOther(answer))).toBeNull();
   });
 });
@@ -76,8 +76,8 @@
   setTimeout(() => response.destroy(), 50);
 }
 
-describe("the weight store", () => {
-  it("serves loads one after the other, at its rate", async () => {
+describe("weight store stand-in", () => {
+  it("serves loads in sequence at its rate", async () => {
     const options = { host: HOST, port: 0, megabytesPerSecond: 1_000 };
     const server = await startWeightStore(options);
     servers.push(server);
--- a/packages/store/src/mod.ts
+++ b/packages/store/src/mod.ts
@@ -1,4 +1,4 @@
-/** Clients of what the platform gives. */
+/** Clients of the platform's object API, instance list and weight store. */
 export type { CallUrgency } from "./call_budget.ts";
 export * from "./follow_objects.ts";
 export * from "./full_jitter.ts";
--- a/packages/store/src/object_store.ts
+++ b/packages/store/src/object_store.ts
@@ -1,75 +1,75 @@
-/** The platform's object API as the rest of rosemarypin sees it. */
+/** Interface of the platform's object API. */
 import type { CallUrgency } from "./call_budget.ts";
 
-/** An object with the version that its last write gave it. */
+/** An object with the version of its last write. */
 export interface StoredObject {
   readonly key: string;
   readonly value: unknown;
-  /** Grows with each write of the object; never used twice. */
+  /** Increases with each write of the object and is never reused. */
   readonly version: number;
 }
 
-/** What is known of a call that gave no result. */
+/** Details of a call that got no usable reply. */
 export interface BrokenCall {
   readonly detail: string;
   /**
-   * Set where the failure says nothing against the store: the caller gave up,
-   * or waited for less time than a store may take.
+   * Set if the failure is no evidence of a store fault, for example if the
+   * caller aborted the call or set a very short timeout.
    */
   readonly storeMayWork?: true;
 }
 
-/** Why a call gave no result. */
+/** Why a call failed. */
 export type StoreFailure =
   /** The object is not at the expected version; nothing was written. */
   | { readonly kind: "conflict"; readonly actual: StoredObject | null }
   /**
-   * Certainly without effect: not sent, never connected, an answer that says
-   * so, or a call that only reads.
+   * The call certainly had no effect: it was not sent, the connection failed,
+   * the reply excludes an effect, or it was a read.
    */
   | ({ readonly kind: "unavailable" } & BrokenCall)
   /**
-   * The write may have taken effect: it was sent, and no usable answer came,
-   * or one that a store may give after it has written.
+   * The write may have taken effect: it was sent, but there was no usable
+   * reply, or an error that the store may return after the write.
    */
   | ({ readonly kind: "reply_lost" } & BrokenCall)
-  /** The value is larger than the store takes; a retry cannot help. */
+  /** The value exceeds the store's size limit; retries cannot succeed. */
   | { readonly kind: "too_large"; readonly bytes: number }
-  /** This instance has used up its calls for now; nothing was sent. */
+  /** The call budget of this instance is exhausted; nothing was sent. */
   | { readonly kind: "over_budget"; readonly retryAfterMs: number };
 
 export type StoreResult<T> =
   | { readonly kind: "ok"; readonly value: T }
   | StoreFailure;
 
-/** Position in the store's history, from which a watch goes on. */
+/** Position in the store's history, from which a watch resumes. */
 export type Revision = number;
 
-/** What a watch brought. */
+/** Result of one watch call. */
 export interface WatchBatch {
   readonly objects: readonly StoredObject[];
-  /** Where to go on; may skip versions that were overwritten meanwhile. */
+  /** Position for the next watch; overwritten versions may be skipped. */
   readonly revision: Revision;
-  /** Keys of objects that were removed, where the store tells them. */
+  /** Keys of removed objects, if the store reports removals. */
   readonly removed?: readonly string[];
-  /** Whether `objects` is all there is, so that any other key is gone. */
+  /** Whether `objects` is complete, so that any other key is removed. */
   readonly isWhole?: boolean;
 }
 
-/** Options of a call that may be given up. */
+/** Options of a call. */
 export interface StoreCallOptions {
   readonly signal?: AbortSignal;
-  /** A read may bring what was true seconds ago, at a lower price. */
+  /** Allows a cheaper read whose result may be seconds old. */
   readonly mayBeStale?: boolean;
-  /** From sending to the answer, in milliseconds; the wait for a turn apart. */
+  /** Limit from sending to the reply, in milliseconds; excludes queueing. */
   readonly timeoutMs?: number;
-  /** Who goes first when calls are short; `control` when left out. */
+  /** Priority when the call budget is short; `control` by default. */
   readonly urgency?: CallUrgency;
-  /** How long the call may wait for its turn, in milliseconds; 0 if left out. */
+  /** Limit of the wait for the call budget in milliseconds; 0 by default. */
   readonly longestWaitMs?: number;
 }
 
-/** Versions, conditional updates and watches. */
+/** Versioned objects with conditional updates and watches. */
 export interface ObjectStore {
   read(
     key: string,
@@ -80,7 +80,7 @@
     options?: StoreCallOptions,
   ): Promise<StoreResult<readonly StoredObject[]>>;
   /**
-   * Writes only if the object is at `expectedVersion`; `null` means that it
+   * Writes the object only if it has `expectedVersion`; `null` means that it
    * must not exist. Resolves to the new version.
    */
   write(
@@ -88,15 +88,14 @@
     value: unknown,
     options: StoreCallOptions & { readonly expectedVersion: number | null },
   ): Promise<StoreResult<number>>;
-  /** Removes the object only if it is at `expectedVersion`. */
+  /** Removes the object only if it has `expectedVersion`. */
   remove(
     key: string,
     options: StoreCallOptions & { readonly expectedVersion: number },
   ): Promise<StoreResult<null>>;
   /**
-   * Waits until something under `prefix` is newer than `since`; with 0 it
-   * brings all there is at once. A store may answer after a while without any
-   * change.
+   * Waits for a change under `prefix` after `since`; with 0 it returns all
+   * objects at once. The store may return an empty batch after its hold time.
    */
   watch(
     prefix: string,
--- a/packages/store/src/store_breaker.ts
+++ b/packages/store/src/store_breaker.ts
@@ -1,4 +1,4 @@
-/** Keeps the calls of an instance back while the store is away. */
+/** Circuit breaker for the store calls of one instance. */
 import { createLogger } from "@rosemarypin/telemetry";
 import {
   CircuitState,
@@ -10,55 +10,62 @@
 import { fullJitterMs } from "./full_jitter.ts";
 import type { StoreResult } from "./object_store.ts";
 
-/** Failures in a row after which the store counts as away. */
+/** Consecutive failures that open the breaker. */
 const FAILURES_TO_OPEN = 3;
-const FIRST_WAIT_MS = 500;
-const LARGEST_WAIT_MS = 5_000;
-/** Each instance of the fleet adds so much to the waits. */
-const FIRST_WAIT_PER_INSTANCE_MS = 3;
-const LARGEST_WAIT_PER_INSTANCE_MS = 30;
+const FIRST_PROBE_DELAY_MS = 500;
+const MAX_PROBE_DELAY_MS = 5_000;
+/** Each instance of the fleet adds this time to the delays. */
+const FIRST_PROBE_DELAY_PER_INSTANCE_MS = 3;
+const MAX_PROBE_DELAY_PER_INSTANCE_MS = 30;
 
 const log = createLogger("store");
 
 export interface StoreBreaker {
   /**
-   * Whether calls may go out. While the store is away one caller at a time
-   * makes a probe, which changes nothing; all others are refused at once.
+   * Resolves to whether calls may be sent. While the breaker is open, one
+   * caller at a time sends a read-only probe; all others are refused at once.
    */
   admits(): Promise<boolean>;
-  /** Makes a call and learns from its outcome. */
+  /** Sends a call and records whether it succeeded. */
   run<T>(send: () => Promise<StoreResult<T>>): Promise<StoreResult<T>>;
 }
 
 /**
- * Creates the breaker of one instance. When a store comes back, every call
- * that waited would go out within moments, from all instances together, and
- * bring it down again. Waits are random over a span that grows with the
- * fleet, so that the probes of all instances together stay at about 33 a
- * second, and an instance's own calls follow only after its probe.
+ * Creates the breaker of one instance. Without it, all instances would send
+ * their pending calls as soon as the store recovers, and overload it again.
+ * Probe delays are random over a span that grows with the fleet, so that all
+ * instances together send about 33 probes a second. An instance sends other
+ * calls only after its probe has succeeded.
  */
 export function createStoreBreaker(options: {
   readonly instances: () => number;
   readonly probe: () => Promise<StoreResult<unknown>>;
 }): StoreBreaker {
   const policy = circuitBreaker(
-    handleWhenResult((result) => saysAway(result as StoreResult<unknown>)),
+    handleWhenResult((result) =>
+      isStoreFailure(result as StoreResult<unknown>),
+    ),
     {
       breaker: new ConsecutiveBreaker(FAILURES_TO_OPEN),
-      halfOpenAfter: new DelegateBackoff(({ attempt }) => waitMs(attempt)),
+      halfOpenAfter: new DelegateBackoff(({ attempt }) =>
+        probeDelayMs(attempt),
+      ),
     },
   );
   policy.onBreak(() => log.warn("store_away"));
   policy.onReset(() => log.info("store_back"));
-  let probing = false;
+  let isProbing = false;
 
-  function waitMs(attempt: number): number {
-    const count = options.instances();
+  function probeDelayMs(attempt: number): number {
+    const instanceCount = options.instances();
     return fullJitterMs(attempt, {
-      firstMs: Math.max(FIRST_WAIT_MS, count * FIRST_WAIT_PER_INSTANCE_MS),
+      firstMs: Math.max(
+        FIRST_PROBE_DELAY_MS,
+        instanceCount * FIRST_PROBE_DELAY_PER_INSTANCE_MS,
+      ),
       largestMs: Math.max(
-        LARGEST_WAIT_MS,
-        count * LARGEST_WAIT_PER_INSTANCE_MS,
+        MAX_PROBE_DELAY_MS,
+        instanceCount * MAX_PROBE_DELAY_PER_INSTANCE_MS,
       ),
     });
   }
@@ -66,14 +73,14 @@
   return {
     async admits() {
       if (policy.state === CircuitState.Closed) return true;
-      if (probing) return false;
-      probing = true;
+      if (isProbing) return false;
+      isProbing = true;
       try {
         await policy.execute(options.probe);
       } catch {
-        // The wait is not over; nothing went out.
+        // The delay is not over, so no probe was sent.
       } finally {
-        probing = false;
+        isProbing = false;
       }
       return isClosed();
     },
@@ -91,9 +98,9 @@
   }
 }
 
-/** Whether a result shows that the store does not work. */
-function saysAway(result: StoreResult<unknown>): boolean {
-  const isBroken =
+/** Whether a result is evidence of a store fault. */
+function isStoreFailure(result: StoreResult<unknown>): boolean {
+  const hasFailed =
     result.kind === "unavailable" || result.kind === "reply_lost";
-  return isBroken && !result.storeMayWork;
+  return hasFailed && !result.storeMayWork;
 }
--- a/packages/store/src/store_breaker_test.ts
+++ b/packages/store/src/store_breaker_test.ts
@@ -8,7 +8,7 @@
 const FLEET = 340;
 const RETRY_MS = 100;
 const OUTAGE_SECONDS = 120;
-/** Long enough for waits to have grown to their largest. */
+/** By then, the probe delays have reached their maximum. */
 const GROWN_AFTER_SECONDS = 60;
 
 const FAILED: StoreResult<never> = { kind: "unavailable", detail: "away" };
@@ -26,7 +26,7 @@
   vi.restoreAllMocks();
 });
 
-/** Probes of a whole fleet in each second of an outage. */
+/** Counts the probes of a whole fleet in each second of an outage. */
 async function probesPerSecond(fleetSize: number): Promise<number[]> {
   const probes = Array.from({ length: OUTAGE_SECONDS }, () => 0);
   const startedAt = Date.now();
@@ -55,10 +55,10 @@
 }
 
 describe("store breaker", () => {
-  // The store fails for all 340 instances at the same moment and stays away
-  // for two minutes. Were they to knock in step, the store would meet the
-  // whole fleet in the second it returns and go down again.
-  it("spreads a fleet's probes, wider for a larger fleet", async () => {
+  // The store fails for all 340 instances at the same moment, for two minutes.
+  // If their probes were synchronised, the whole fleet would reach the store
+  // in the second of its recovery and overload it again.
+  it("spreads the probes of a larger fleet over a longer time", async () => {
     const probes = await probesPerSecond(FLEET);
     const grown = probes.slice(GROWN_AFTER_SECONDS, OUTAGE_SECONDS);
     expect(mean(grown)).toBeLessThan(FLEET / 4);
@@ -68,8 +68,8 @@
     expect(mean(grown)).toBeLessThan(0.7 * mean(unawareGrown));
   });
 
-  // The store hangs and a probe waits two seconds for it. The other callers
-  // must get their refusal at once, and no second probe may go out.
+  // The store hangs, and a probe waits two seconds for its reply. All other
+  // callers must be refused at once, and no second probe may be sent.
   it("sends one probe and refuses the others at once", async () => {
     let probes = 0;
     const breaker = createStoreBreaker({
--- a/packages/store/src/store_times.ts
+++ b/packages/store/src/store_times.ts
@@ -1,19 +1,19 @@
-/** How long calls to the object API may take. */
+/** Timeouts for calls to the object API. */
 
 /** All in milliseconds. */
 export interface StoreTimes {
-  /** From sending a call to its answer. */
+  /** Limit from sending a call to its reply. */
   readonly callMs: number;
-  /** How long the store holds a watch without news. */
+  /** How long the store holds a watch without changes before it replies. */
   readonly watchHoldMs: number;
-  /** Beyond the hold, for the way and a slow store. */
+  /** Margin on top of the hold, for network latency and a slow store. */
   readonly watchMarginMs: number;
 }
 
 /**
- * Where the store alone brings changes. A connection can fall silent without
- * an end, and changes must be seen within two seconds of one that the store
- * has acknowledged: so watches are held briefly, and a silent one shows soon.
+ * For clients that receive changes only from the store. Changes must be seen
+ * within two seconds of their acknowledgement, but a connection can stop
+ * delivering without being closed. Short holds detect such a connection early.
  */
 export const PROMPT_STORE_TIMES: StoreTimes = {
   callMs: 1_000,
@@ -22,8 +22,9 @@
 };
 
 /**
- * Where peers carry changes too. A watch that fell silent may go unnoticed for
- * longer, and one call in 25 s is an eighth of what brief holds cost.
+ * For clients that also receive changes from peers. A connection that stopped
+ * delivering may be detected later, and one call in 25 s is an eighth of the
+ * call rate of short holds.
  */
 export const PATIENT_STORE_TIMES: StoreTimes = {
   callMs: 2_000,
--- a/packages/store/src/weight_loader.ts
+++ b/packages/store/src/weight_loader.ts
@@ -1,106 +1,106 @@
-/** Asks the weight store for many loads without running it over. */
+/** Scheduler for weight loads that protects the weight store. */
 import type { WeightRequest } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
 import { fullJitterMs } from "./full_jitter.ts";
 import type { WeightStore } from "./weight_store.ts";
 
-/** Requests in progress: one is served while the next is on its way. */
-const AT_ONCE = 2;
-const RETRY = { firstMs: 500, largestMs: 30_000 };
+/** While one request is served, the next one is already sent. */
+const MAX_CONCURRENT_REQUESTS = 2;
+const RETRY_BACKOFF = { firstMs: 500, largestMs: 30_000 };
 
 const log = createLogger("weights");
 
 export interface WeightLoaderOptions {
   readonly store: WeightStore;
-  /** Requests are spread so that they ask for no more than this. */
+  /** Limit of the average rate of requested weights. */
   readonly megabytesPerSecond: number;
 }
 
 export interface LoadOptions {
-  /** Ends the load, before or while it runs. */
+  /** Cancels the load, whether queued or running. */
   readonly signal: AbortSignal;
-  /** Loads of a lower number go first. */
+  /** Loads with a lower number start first. */
   readonly priority: number;
 }
 
-/** Loads weights one after the other. */
+/** Queues loads of weights. */
 export interface WeightLoader {
-  /** Resolves to whether the weights were served; tries until then. */
+  /** Retries until served; resolves to `false` if cancelled. */
   load(wanted: WeightRequest, options: LoadOptions): Promise<boolean>;
 }
 
-interface Waiting {
+interface PendingLoad {
   readonly wanted: WeightRequest;
   readonly options: LoadOptions;
   readonly order: number;
   readonly settle: (isLoaded: boolean) => void;
   failures: number;
-  /** Not to be tried before, by the monotonic clock. */
+  /** Earliest time of the next attempt, by the monotonic clock. */
   readyAt: number;
 }
 
-/** Creates a loader with nothing to do. */
+/** Creates a loader with an empty queue. */
 export function createWeightLoader(options: WeightLoaderOptions): WeightLoader {
   const { store, megabytesPerSecond } = options;
-  const waiting: Waiting[] = [];
-  let running = 0;
-  let count = 0;
-  /** Failures in a row that would have met any request. */
-  let outage = 0;
-  /** When the next request may be sent. */
-  let openAt = 0;
+  const queue: PendingLoad[] = [];
+  let runningCount = 0;
+  let enqueuedCount = 0;
+  /** Consecutive failures that were not specific to one request. */
+  let consecutiveOutages = 0;
+  /** Earliest time of the next request, by the monotonic clock. */
+  let nextRequestAt = 0;
   let timer: NodeJS.Timeout | undefined;
 
   /**
-   * After an outage every engine of the domain lacks weights. Each retrying
-   * for itself would send them all at once when the store returns, which
-   * fails it again. So the wait belongs to the loader: whatever is in line,
-   * two requests at most meet a store that failed, after a random time.
+   * After an outage, all engines of the failure domain lack weights. If each
+   * load retried on its own, all of them would reach the recovering store at
+   * once and overload it again. So the backoff is shared by the whole queue: a
+   * failing store gets at most two requests per random delay.
    */
-  function pump(): void {
+  function startReadyLoads(): void {
     clearTimeout(timer);
-    while (running < AT_ONCE) {
+    while (runningCount < MAX_CONCURRENT_REQUESTS) {
       const next = pickNext();
-      if (!next) return wakeLater();
-      waiting.splice(waiting.indexOf(next), 1);
+      if (!next) return scheduleNextStart();
+      queue.splice(queue.indexOf(next), 1);
       void run(next);
     }
   }
 
-  function pickNext(): Waiting | undefined {
+  function pickNext(): PendingLoad | undefined {
     const now = performance.now();
-    if (openAt > now) return undefined;
-    return waiting
+    if (nextRequestAt > now) return undefined;
+    return queue
       .filter(({ readyAt }) => readyAt <= now)
       .sort(
         (a, b) => a.options.priority - b.options.priority || a.order - b.order,
       )[0];
   }
 
-  function wakeLater(): void {
-    if (waiting.length === 0) return;
-    const ready = Math.min(...waiting.map(({ readyAt }) => readyAt));
-    const waitMs = Math.max(openAt, ready) - performance.now();
-    timer = setTimeout(pump, Math.max(1, Math.ceil(waitMs)));
+  function scheduleNextStart(): void {
+    if (queue.length === 0) return;
+    const earliestReadyAt = Math.min(...queue.map(({ readyAt }) => readyAt));
+    const waitMs = Math.max(nextRequestAt, earliestReadyAt) - performance.now();
+    timer = setTimeout(startReadyLoads, Math.max(1, Math.ceil(waitMs)));
   }
 
-  async function run(next: Waiting): Promise<void> {
+  async function run(next: PendingLoad): Promise<void> {
     const { wanted, options: asked } = next;
-    running += 1;
-    const takesMs = (wanted.megabytes / megabytesPerSecond) * 1_000;
-    openAt = Math.max(openAt, performance.now()) + takesMs;
+    runningCount += 1;
+    const transferMs = (wanted.megabytes / megabytesPerSecond) * 1_000;
+    nextRequestAt = Math.max(nextRequestAt, performance.now()) + transferMs;
     const result = await store.load(wanted, asked.signal);
-    running -= 1;
+    runningCount -= 1;
     if (asked.signal.aborted) next.settle(false);
     else if (result.kind === "loaded") {
-      outage = 0;
+      consecutiveOutages = 0;
       next.settle(true);
-    } else tryLater(next, result);
-    pump();
+    } else requeue(next, result);
+    startReadyLoads();
   }
 
-  function tryLater(
-    failed: Waiting,
+  function requeue(
+    failed: PendingLoad,
     result: { readonly kind: string; readonly detail: string },
   ): void {
     const { engine, version } = failed.wanted;
@@ -109,21 +109,24 @@
     const now = performance.now();
     failed.failures += 1;
     if (kind === "unavailable") {
-      outage += 1;
-      openAt = Math.max(openAt, now + fullJitterMs(outage, RETRY));
-    } else failed.readyAt = now + fullJitterMs(failed.failures, RETRY);
-    waiting.push(failed);
+      consecutiveOutages += 1;
+      nextRequestAt = Math.max(
+        nextRequestAt,
+        now + fullJitterMs(consecutiveOutages, RETRY_BACKOFF),
+      );
+    } else failed.readyAt = now + fullJitterMs(failed.failures, RETRY_BACKOFF);
+    queue.push(failed);
   }
 
   return {
     load(wanted, asked) {
       if (asked.signal.aborted) return Promise.resolve(false);
       return new Promise((resolve) => {
-        count += 1;
-        const entry: Waiting = {
+        enqueuedCount += 1;
+        const entry: PendingLoad = {
           wanted,
           options: asked,
-          order: count,
+          order: enqueuedCount,
           failures: 0,
           readyAt: 0,
           settle(isLoaded) {
@@ -132,14 +135,14 @@
           },
         };
         function leave(): void {
-          const index = waiting.indexOf(entry);
+          const index = queue.indexOf(entry);
           if (index < 0) return;
-          waiting.splice(index, 1);
+          queue.splice(index, 1);
           entry.settle(false);
         }
         asked.signal.addEventListener("abort", leave, { once: true });
-        waiting.push(entry);
-        pump();
+        queue.push(entry);
+        startReadyLoads();
       });
     },
   };
--- a/packages/store/src/weight_loader_test.ts
+++ b/packages/store/src/weight_loader_test.ts
@@ -15,17 +15,17 @@
   };
 }
 
-/** A store that notes when each request came. */
+/** A store that records the time of each request. */
 function createStore(options: { readonly takesMs?: number } = {}) {
   const requests: { readonly at: number; readonly engine: string }[] = [];
   let answer: WeightResult = { kind: "loaded" };
   let inProgress = 0;
-  let most = 0;
+  let maxInProgress = 0;
   const store: WeightStore = {
     async load({ engine }) {
       requests.push({ at: performance.now(), engine });
       inProgress += 1;
-      most = Math.max(most, inProgress);
+      maxInProgress = Math.max(maxInProgress, inProgress);
       const result = answer;
       const takesMs = options.takesMs ?? 0;
       await new Promise((resolve) => setTimeout(resolve, takesMs));
@@ -36,7 +36,7 @@
   return {
     store,
     requests,
-    most: () => most,
+    maxInProgress: () => maxInProgress,
     answer: (next: WeightResult) => (answer = next),
   };
 }
@@ -63,9 +63,9 @@
   vi.useRealTimers();
 });
 
-describe("loads of weights", () => {
-  it("ask for no more than the rate", async () => {
-    // Forty engines lack 10 MB each, and 100 MB a second may be asked for.
+describe("weight loader", () => {
+  it("limits the rate of requested weights", async () => {
+    // Forty engines lack 10 MB each; the limit is 100 MB a second.
     const { store, requests } = createStore();
     startLoads(40, { store });
     await vi.advanceTimersByTimeAsync(2 * SECOND);
@@ -73,7 +73,7 @@
     expect(requests.length).toBeLessThanOrEqual(22);
   });
 
-  it("begin with what is needed first", async () => {
+  it("starts loads of high priority first", async () => {
     const { store, requests } = createStore();
     startLoads(6, { store });
     await vi.advanceTimersByTimeAsync(SECOND);
@@ -81,16 +81,17 @@
     expect(engines.slice(0, 3)).toEqual(["engine-0", "engine-2", "engine-4"]);
   });
 
-  it("have two in progress at most, however slow the store is", async () => {
-    const { store, most } = createStore({ takesMs: 5 * SECOND });
+  it("runs at most two requests at once when the store is slow", async () => {
+    const { store, maxInProgress } = createStore({ takesMs: 5 * SECOND });
     startLoads(20, { store });
     await vi.advanceTimersByTimeAsync(60 * SECOND);
-    expect(most()).toBe(2);
+    expect(maxInProgress()).toBe(2);
   });
 
-  it("do not run over a store that comes back", async () => {
-    // The store is away for ten minutes while eighty engines lack weights.
-    // Each retrying for itself, their requests would fail it as it returns.
+  it("does not overload a recovering store", async () => {
+    // The store is unreachable for ten minutes while eighty engines lack
+    // weights. With independent retries, their requests would overload the
+    // store when it recovers.
     const { store, requests, answer } = createStore();
     answer({ kind: "unavailable", detail: "down" });
     const loaded = startLoads(80, { store });
@@ -109,9 +110,9 @@
     expect(inFirstSecond.length).toBeLessThanOrEqual(12);
   });
 
-  it("of other weights go on when some are refused", async () => {
-    // The store does not know one version. Tried in turn without end, it
-    // would hold up all other loads.
+  it("continues with other loads when one is refused", async () => {
+    // The store refuses one version. Retried without a delay of its own, it
+    // would block all other loads.
     const { store, requests } = createStore();
     const strict: WeightStore = {
       async load(wanted, signal) {
@@ -126,7 +127,7 @@
     expect(requests.length).toBeGreaterThan(10);
   });
 
-  it("end when they are not wanted any more", async () => {
+  it("cancels queued loads when their signal is aborted", async () => {
     const { store, requests, answer } = createStore();
     answer({ kind: "unavailable", detail: "down" });
     const stopping = new AbortController();
--- a/packages/store/src/weight_store.ts
+++ b/packages/store/src/weight_store.ts
@@ -1,30 +1,30 @@
-/** The platform's weight store, which serves weights under a rate limit. */
+/** Client of the platform's weight store, which has a rate limit. */
 import type { WeightRequest } from "@rosemarypin/schemas";
 import { request } from "undici";
 
-/** Least time that the store may take for a request. */
-const SHORTEST_TIMEOUT_MS = 10_000;
-/** Others share the store: a request may wait for so many like it. */
-const SHARED_BY = 8;
+/** Lower limit of the timeout of a request. */
+const MIN_TIMEOUT_MS = 10_000;
+/** A request may queue behind this many equal requests of other clients. */
+const MAX_REQUESTS_AHEAD = 8;
 
-/** How one request ended. */
+/** Result of one request. */
 export type WeightResult =
   | { readonly kind: "loaded" }
-  /** The store is away, slow, or over its limit: it is the same for all. */
+  /** The store is unreachable, slow or overloaded, for any request. */
   | { readonly kind: "unavailable"; readonly detail: string }
-  /** The store answers, and does not serve these weights. */
+  /** The store refuses these weights. */
   | { readonly kind: "refused"; readonly detail: string };
 
-/** Serves weights to engines. */
+/** Has weights served to engines. */
 export interface WeightStore {
   /** Resolves when the engine has been served; never throws. */
   load(wanted: WeightRequest, signal: AbortSignal): Promise<WeightResult>;
 }
 
-const TOO_MANY = 429;
-const SERVER_ERROR = 500;
+const HTTP_TOO_MANY_REQUESTS = 429;
+const HTTP_SERVER_ERROR = 500;
 
-/** Creates a client of the store at `url`. */
+/** Creates a client of the weight store at `url`. */
 export function createHttpWeightStore(options: {
   readonly url: string;
   /** The rate at which the store may serve this client. */
@@ -33,8 +33,10 @@
   const { url, megabytesPerSecond } = options;
 
   function timeoutFor(megabytes: number): AbortSignal {
-    const servedMs = (megabytes / megabytesPerSecond) * 1_000;
-    return AbortSignal.timeout(SHORTEST_TIMEOUT_MS + SHARED_BY * servedMs);
+    const transferMs = (megabytes / megabytesPerSecond) * 1_000;
+    return AbortSignal.timeout(
+      MIN_TIMEOUT_MS + MAX_REQUESTS_AHEAD * transferMs,
+    );
   }
 
   return {
@@ -45,12 +47,12 @@
           headers: { "content-type": "application/json" },
           body: JSON.stringify(wanted),
           signal: AbortSignal.any([signal, timeoutFor(wanted.megabytes)]),
-          // The answer comes when the weights are served, however long that
-          // takes; the signal above ends what takes too long.
+          // The store replies only after it has served the weights; the
+          // signal above limits the time.
           headersTimeout: 0,
         });
         await response.body.dump();
-        return judge(response.statusCode);
+        return resultOf(response.statusCode);
       } catch (error) {
         const detail = error instanceof Error ? error.message : String(error);
         return { kind: "unavailable", detail };
@@ -59,9 +61,10 @@
   };
 }
 
-function judge(status: number): WeightResult {
+function resultOf(status: number): WeightResult {
   if (status === 200) return { kind: "loaded" };
   const detail = `the weight store answered ${status}`;
-  const isForAll = status === TOO_MANY || status >= SERVER_ERROR;
-  return { kind: isForAll ? "unavailable" : "refused", detail };
+  const isStoreWide =
+    status === HTTP_TOO_MANY_REQUESTS || status >= HTTP_SERVER_ERROR;
+  return { kind: isStoreWide ? "unavailable" : "refused", detail };
 }
--- a/packages/store/src/weight_store_test.ts
+++ b/packages/store/src/weight_store_test.ts
@@ -31,8 +31,8 @@
   return store.load(wanted, new AbortController().signal);
 }
 
-describe("the client of the weight store", () => {
-  it("has the stand-in serve weights, and hears when it is down", async () => {
+describe("weight store client", () => {
+  it("loads from the stand-in and reports when it is down", async () => {
     const options = { host: HOST, port: 0, megabytesPerSecond: 1_000 };
     const server = await startWeightStore(options);
     servers.push(server);
@@ -49,7 +49,7 @@
     ]);
   });
 
-  /** Only an answer of the store about these weights is their own fault. */
+  /** Only a client error is specific to the requested weights. */
   const rows: [string, (response: ServerResponse) => void, string][] = [
     ["404", (response) => response.writeHead(404).end(), "refused"],
     ["400", (response) => response.writeHead(400).end(), "refused"],
@@ -57,7 +57,7 @@
     ["500", (response) => response.writeHead(500).end(), "unavailable"],
     ["reset", (response) => response.destroy(), "unavailable"],
   ];
-  it.each(rows)("tells what %s means", async (_what, answer, kind) => {
+  it.each(rows)("classifies the response: %s", async (_what, answer, kind) => {
     const server = createServer((_request, response) => answer(response));
     servers.push(server);
     server.listen(0, HOST);
@@ -65,7 +65,7 @@
     expect((await load(urlOf(server))).kind).toBe(kind);
   });
 
-  it("takes a refused connection for an outage", async () => {
+  it("reports a refused connection as unavailable", async () => {
     expect((await load(`http://${HOST}:1`)).kind).toBe("unavailable");
   });
 });
