--- a/packages/store/src/call_queue.ts
+++ b/packages/store/src/call_queue.ts
@@ -4,22 +4,22 @@
 export interface AdmissionOptions {
   readonly urgency: CallUrgency;
   /** How long the call may wait in milliseconds; 0 refuses at once. */
-  readonly longestWaitMs: number;
+  readonly maxWaitMs: number;
 }
 
 /** Admits the store calls of one instance. */
 export interface CallQueue {
   /**
    * Resolves to 0 when the call may be sent, else to a retry delay in
-   * milliseconds: at once if the expected wait exceeds `longestWaitMs`, or
+   * milliseconds: at once if the expected wait exceeds `maxWaitMs`, or
    * later if the call expires in the queue.
    */
   take(options: AdmissionOptions): Promise<number>;
 }
 
 interface Waiter {
-  readonly until: number;
-  readonly answer: (waitMs: number) => void;
+  readonly expiresAt: number;
+  readonly resolve: (waitMs: number) => void;
 }
 
 const MOST_URGENT_FIRST: readonly CallUrgency[] = [
@@ -45,7 +45,7 @@
     begin: [],
   };
   let nextRecheck:
-    | { readonly timer: NodeJS.Timeout; readonly at: number }
+    | { readonly timer: NodeJS.Timeout; readonly dueAt: number }
     | undefined;
 
   /** Number of queued calls that precede a new call of this urgency. */
@@ -72,7 +72,7 @@
       let waitMs = 0;
       while (queue.length > 0 && waitMs === 0) {
         waitMs = budget.take({ urgency });
-        if (waitMs === 0) queue.shift()?.answer(0);
+        if (waitMs === 0) queue.shift()?.resolve(0);
       }
       if (queue.length > 0) recheckMs = Math.min(recheckMs, waitMs);
     }
@@ -82,29 +82,29 @@
   /** Calls can expire if more urgent calls arrive after them. */
   function refuseExpired(queue: Waiter[]): void {
     const now = performance.now();
-    while (queue[0] && queue[0].until < now) {
-      queue.shift()?.answer(Math.ceil(1_000 / budget.callsPerSecond));
+    while (queue[0] && queue[0].expiresAt < now) {
+      queue.shift()?.resolve(Math.ceil(1_000 / budget.callsPerSecond));
     }
   }
 
   function scheduleRecheck(waitMs: number): void {
     const delayMs = Math.max(MIN_RECHECK_DELAY_MS, waitMs);
-    const at = performance.now() + delayMs;
-    if (nextRecheck && nextRecheck.at <= at) return;
+    const dueAt = performance.now() + delayMs;
+    if (nextRecheck && nextRecheck.dueAt <= dueAt) return;
     clearTimeout(nextRecheck?.timer);
-    nextRecheck = { at, timer: setTimeout(admitWaiters, delayMs) };
+    nextRecheck = { dueAt, timer: setTimeout(admitWaiters, delayMs) };
   }
 
   return {
-    async take({ urgency, longestWaitMs }) {
-      const isFirst = longestWaitMs === 0 || countAhead(urgency) === 0;
+    async take({ urgency, maxWaitMs }) {
+      const isFirst = maxWaitMs === 0 || countAhead(urgency) === 0;
       const budgetMs = isFirst ? budget.take({ urgency }) : 0;
       if (isFirst && budgetMs === 0) return 0;
       const waitMs = retryAfterMs(urgency, budgetMs);
-      if (waitMs > longestWaitMs) return waitMs;
-      return new Promise((answer) => {
-        const until = performance.now() + longestWaitMs;
-        waitersByUrgency[urgency].push({ until, answer });
+      if (waitMs > maxWaitMs) return waitMs;
+      return new Promise((resolve) => {
+        const expiresAt = performance.now() + maxWaitMs;
+        waitersByUrgency[urgency].push({ expiresAt, resolve });
         scheduleRecheck(budgetMs);
       });
     },
--- a/packages/store/src/call_queue_test.ts
+++ b/packages/store/src/call_queue_test.ts
@@ -3,9 +3,9 @@
 import { createCallQueue } from "./call_queue.ts";
 
 const RATE = 40;
-const BEGIN = { urgency: "begin", longestWaitMs: 500 } as const;
-const FINISH = { urgency: "finish", longestWaitMs: 5_000 } as const;
-const CONTROL = { urgency: "control", longestWaitMs: 0 } as const;
+const BEGIN = { urgency: "begin", maxWaitMs: 500 } as const;
+const FINISH = { urgency: "finish", maxWaitMs: 5_000 } as const;
+const CONTROL = { urgency: "control", maxWaitMs: 0 } as const;
 
 describe("store call queue", () => {
   beforeEach(() => {
@@ -18,7 +18,7 @@
   /** Creates a queue whose budget callers' work has just exhausted. */
   async function createExhaustedQueue() {
     const queue = createCallQueue(createCallBudget(RATE));
-    const first = { ...BEGIN, longestWaitMs: 0 };
+    const first = { ...BEGIN, maxWaitMs: 0 };
     while ((await queue.take(first)) === 0);
     return queue;
   }
--- a/packages/store/src/guarded_object_store.ts
+++ b/packages/store/src/guarded_object_store.ts
@@ -45,10 +45,10 @@
     callOptions: StoreCallOptions,
     send: () => Promise<StoreResult<T>>,
   ): Promise<StoreResult<T>> {
-    if (!(await breaker.admits())) return refusedByBreaker(operation);
+    if (!(await breaker.admit())) return refusedByBreaker(operation);
     const waitMs = await queue.take({
       urgency: callOptions.urgency ?? "control",
-      longestWaitMs: callOptions.longestWaitMs ?? 0,
+      maxWaitMs: callOptions.longestWaitMs ?? 0,
     });
     if (waitMs > 0) {
       countCall(operation, "over_budget");
@@ -56,7 +56,7 @@
     }
     // The store may have become unreachable while the call was queued. Only a
     // probe may test whether it has recovered, never a write.
-    if (!(await breaker.admits())) return refusedByBreaker(operation);
+    if (!(await breaker.admit())) return refusedByBreaker(operation);
     const result = await breaker.run(send);
     countCall(operation, result.kind);
     return result;
@@ -64,7 +64,10 @@
 
   function refusedByBreaker(operation: string): StoreResult<never> {
     countCall(operation, "not_sent");
-    return { kind: "unavailable", detail: "the store is away; not sent" };
+    return {
+      kind: "unavailable",
+      detail: "the store is unavailable; the call was not sent",
+    };
   }
 
   function countCall(operation: string, result: string): void {
--- a/packages/store/src/store_breaker.ts
+++ b/packages/store/src/store_breaker.ts
@@ -25,7 +25,7 @@
    * Resolves to whether calls may be sent. While the breaker is open, one
    * caller at a time sends a read-only probe; all others are refused at once.
    */
-  admits(): Promise<boolean>;
+  admit(): Promise<boolean>;
   /** Sends a call and records whether it succeeded. */
   run<T>(send: () => Promise<StoreResult<T>>): Promise<StoreResult<T>>;
 }
@@ -71,7 +71,7 @@
   }
 
   return {
-    async admits() {
+    async admit() {
       if (policy.state === CircuitState.Closed) return true;
       if (isProbing) return false;
       isProbing = true;
@@ -88,7 +88,10 @@
       try {
         return await policy.execute(send);
       } catch {
-        return { kind: "unavailable", detail: "the store has just gone away" };
+        return {
+          kind: "unavailable",
+          detail: "the store has just become unavailable",
+        };
       }
     },
   };
--- a/packages/store/src/store_breaker_test.ts
+++ b/packages/store/src/store_breaker_test.ts
@@ -44,7 +44,7 @@
     for (let at = 0; at < 3; at++) await breaker.run(async () => FAILED);
   }
   for (let at = 0; at < OUTAGE_SECONDS * 1_000; at += RETRY_MS) {
-    for (const breaker of breakers) void breaker.admits();
+    for (const breaker of breakers) void breaker.admit();
     await vi.advanceTimersByTimeAsync(RETRY_MS);
   }
   return probes;
@@ -82,12 +82,12 @@
     });
     for (let at = 0; at < 3; at++) await breaker.run(async () => FAILED);
     while (probes === 0) {
-      void breaker.admits();
+      void breaker.admit();
       await vi.advanceTimersByTimeAsync(RETRY_MS);
     }
     let refused = 0;
     for (let at = 0; at < 10; at++) {
-      void breaker.admits().then((admitted) => {
+      void breaker.admit().then((admitted) => {
         if (!admitted) refused += 1;
       });
     }
--- a/packages/store/src/weight_loader.ts
+++ b/packages/store/src/weight_loader.ts
@@ -26,11 +26,11 @@
 /** Queues loads of weights. */
 export interface WeightLoader {
   /** Retries until served; resolves to `false` if cancelled. */
-  load(wanted: WeightRequest, options: LoadOptions): Promise<boolean>;
+  load(request: WeightRequest, options: LoadOptions): Promise<boolean>;
 }
 
 interface PendingLoad {
-  readonly wanted: WeightRequest;
+  readonly request: WeightRequest;
   readonly options: LoadOptions;
   readonly order: number;
   readonly settle: (isLoaded: boolean) => void;
@@ -85,13 +85,13 @@
   }
 
   async function run(next: PendingLoad): Promise<void> {
-    const { wanted, options: asked } = next;
+    const { request, options: loadOptions } = next;
     runningCount += 1;
-    const transferMs = (wanted.megabytes / megabytesPerSecond) * 1_000;
+    const transferMs = (request.megabytes / megabytesPerSecond) * 1_000;
     nextRequestAt = Math.max(nextRequestAt, performance.now()) + transferMs;
-    const result = await store.load(wanted, asked.signal);
+    const result = await store.load(request, loadOptions.signal);
     runningCount -= 1;
-    if (asked.signal.aborted) next.settle(false);
+    if (loadOptions.signal.aborted) next.settle(false);
     else if (result.kind === "loaded") {
       consecutiveOutages = 0;
       next.settle(true);
@@ -103,7 +103,7 @@
     failed: PendingLoad,
     result: { readonly kind: string; readonly detail: string },
   ): void {
-    const { engine, version } = failed.wanted;
+    const { engine, version } = failed.request;
     const { kind, detail } = result;
     log.warn("load_failed", { engine, version, kind, reason: detail });
     const now = performance.now();
@@ -119,28 +119,28 @@
   }
 
   return {
-    load(wanted, asked) {
-      if (asked.signal.aborted) return Promise.resolve(false);
+    load(request, loadOptions) {
+      if (loadOptions.signal.aborted) return Promise.resolve(false);
       return new Promise((resolve) => {
         enqueuedCount += 1;
         const entry: PendingLoad = {
-          wanted,
-          options: asked,
+          request,
+          options: loadOptions,
           order: enqueuedCount,
           failures: 0,
           readyAt: 0,
           settle(isLoaded) {
-            asked.signal.removeEventListener("abort", leave);
+            loadOptions.signal.removeEventListener("abort", cancel);
             resolve(isLoaded);
           },
         };
-        function leave(): void {
+        function cancel(): void {
           const index = queue.indexOf(entry);
           if (index < 0) return;
           queue.splice(index, 1);
           entry.settle(false);
         }
-        asked.signal.addEventListener("abort", leave, { once: true });
+        loadOptions.signal.addEventListener("abort", cancel, { once: true });
         queue.push(entry);
         startReadyLoads();
       });
