--- /dev/null
+++ b/packages/gateway/src/streams/engine_usage_test.ts
@@ -0,0 +1,74 @@
+import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
+import type { AddressedStage } from "../protocol.ts";
+import { createEngineUsage, PEER_LOADS_VALID_MS } from "./engine_usage.ts";
+
+beforeEach(() => {
+  vi.useFakeTimers();
+});
+
+afterEach(() => {
+  vi.useRealTimers();
+});
+
+const stages: AddressedStage[] = [
+  { engineId: "e-1", address: "10.0.0.1:80", range: { from: 0, to: 10 } },
+  { engineId: "e-2", address: "10.0.0.2:80", range: { from: 10, to: 30 } },
+];
+
+describe("engine usage", () => {
+  it("counts an answer once at each stage until its release", () => {
+    const usage = createEngineUsage();
+    const answer = { stages, tokens: 100, unreadTokens: 80 };
+    const reservation = usage.reserve({ ...answer, unreadStages: stages });
+    usage.reserve({
+      stages: stages.slice(0, 1),
+      tokens: 50,
+      unreadTokens: 0,
+      unreadStages: [],
+    });
+    expect([...usage.localLoads()]).toEqual([
+      ["e-1", { held: 1_500, unread: 800 }],
+      ["e-2", { held: 2_000, unread: 1_600 }],
+    ]);
+    reservation.release();
+    reservation.release();
+    expect([...usage.localLoads()]).toEqual([
+      ["e-1", { held: 500, unread: 0 }],
+    ]);
+    expect(usage.localTokens()).toBe(50);
+  });
+
+  it("counts a prompt once as unread until the answer begins", () => {
+    const usage = createEngineUsage();
+    const answer = { stages, tokens: 100, unreadTokens: 80 };
+    const reservation = usage.reserve({
+      ...answer,
+      unreadStages: stages.slice(1),
+    });
+    reservation.markPromptRead();
+    reservation.markPromptRead();
+    expect([...usage.localLoads()]).toEqual([
+      ["e-1", { held: 1_000, unread: 0 }],
+      ["e-2", { held: 2_000, unread: 0 }],
+    ]);
+    reservation.release();
+    expect([...usage.localLoads()]).toEqual([]);
+  });
+
+  it("sums the latest loads of each peer", () => {
+    const usage = createEngineUsage();
+    usage.recordPeerLoads("b", new Map([["e-1", { held: 10, unread: 1 }]]));
+    usage.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
+    usage.recordPeerLoads("c", new Map([["e-1", { held: 5, unread: 3 }]]));
+    expect(usage.peerLoadOf("e-1")).toEqual({ held: 35, unread: 5 });
+    expect(usage.peerLoadOf("e-2")).toEqual({ held: 0, unread: 0 });
+  });
+
+  it("drops the loads of a peer that stopped reporting", () => {
+    const usage = createEngineUsage();
+    usage.recordPeerLoads("b", new Map([["e-1", { held: 30, unread: 2 }]]));
+    vi.advanceTimersByTime(PEER_LOADS_VALID_MS);
+    expect(usage.peerLoadOf("e-1")).toEqual({ held: 0, unread: 0 });
+    expect(usage.peerLoads("b")).toBeNull();
+  });
+});
--- a/packages/gateway/src/streams/stage_recovery_test.ts
+++ b/packages/gateway/src/streams/stage_recovery_test.ts
@@ -1,6 +1,6 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { CallerCall } from "../callers/mod.ts";
-import type { AddressedStage, MoveAnswer } from "../protocol.ts";
+import type { AddressedStage, PipelineChangeOutcome } from "../protocol.ts";
 import type { ChosenPipeline } from "./pipeline_router.ts";
 import {
   createStageRecovery,
@@ -24,41 +24,41 @@
 
 function pipeline(...stages: AddressedStage[]): ChosenPipeline {
   const first = { id: "first", address: "first:1" };
-  const counted = { begun: vi.fn(), release: vi.fn() };
-  return { stages, first, ...counted } as unknown as ChosenPipeline;
+  const reservation = { markPromptRead: vi.fn(), release: vi.fn() };
+  return { stages, first, ...reservation } as unknown as ChosenPipeline;
 }
 
-interface Surroundings {
-  /** What engines say to changes, in order. */
-  readonly answers?: readonly MoveAnswer[];
-  /** Engines of the lost one's domain that hold its layers. */
-  readonly near?: () => readonly string[];
-  /** Engines of other domains that do. */
-  readonly far?: readonly string[];
+interface RecoveryScenario {
+  /** Responses to pipeline changes, in order. */
+  readonly answers?: readonly PipelineChangeOutcome[];
+  /** Engines in the lost engine's domain that hold its layers. */
+  readonly sameDomainEngines?: () => readonly string[];
+  /** Engines in other domains that hold its layers. */
+  readonly otherDomainEngines?: readonly string[];
   readonly hasRoomElsewhere?: boolean;
 }
 
-/** A run whose second stage is dead. */
+/** Sets up a run whose second stage is dead. */
 function setUp({
   answers = [],
-  near = () => ["s1", "s2", "s3", "s4"],
-  far = [],
+  sameDomainEngines = () => ["s1", "s2", "s3", "s4"],
+  otherDomainEngines = [],
   hasRoomElsewhere = false,
-}: Surroundings = {}) {
-  const kept = stage("first", 0, 4);
+}: RecoveryScenario = {}) {
+  const keptStage = stage("first", 0, 4);
   const run: StreamRun = {
-    pipeline: pipeline(kept, stage("dead", 4, 8)),
+    pipeline: pipeline(keptStage, stage("dead", 4, 8)),
     size: { promptTokens: 80, answerTokens: 20 },
     avoided: new Set<string>(),
-    mayGoElsewhere: true,
+    canResumeElsewhere: true,
     stop: new AbortController(),
   };
-  const asked: string[] = [];
+  const requestedEngines: string[] = [];
   const refused: string[] = [];
-  const left = [...answers];
+  const remainingAnswers = [...answers];
   const parts = {
     router: {
-      hasRoom: () => hasRoomElsewhere,
+      hasPipeline: () => hasRoomElsewhere,
       replaceStage(
         _last: ChosenPipeline,
         request: {
@@ -66,9 +66,13 @@
           readonly sameDomain: boolean;
         },
       ) {
-        const choices = request.sameDomain ? near() : [...near(), ...far];
-        const spare = choices.find((id) => !request.avoided.has(id));
-        return spare ? pipeline(kept, stage(spare, 4, 8)) : null;
+        const choices = request.sameDomain
+          ? sameDomainEngines()
+          : [...sameDomainEngines(), ...otherDomainEngines];
+        const spareEngine = choices.find((id) => !request.avoided.has(id));
+        return spareEngine
+          ? pipeline(keptStage, stage(spareEngine, 4, 8))
+          : null;
       },
     },
     engines: {
@@ -76,11 +80,11 @@
         _address: string,
         change: { pipeline: readonly AddressedStage[] },
       ) {
-        asked.push(change.pipeline.at(-1)?.engineId ?? "");
-        return left.shift() ?? { kind: "moved" };
+        requestedEngines.push(change.pipeline.at(-1)?.engineId ?? "");
+        return remainingAnswers.shift() ?? { kind: "moved" };
       },
     },
-    fleet: { detector: { refused: (id: string) => refused.push(id) } },
+    fleet: { detector: { reportRefusal: (id: string) => refused.push(id) } },
   } as unknown as RecoveryParts;
   const call = {
     id: "r",
@@ -88,85 +92,99 @@
     route: { resumable: true },
     signal: new AbortController().signal,
   } as CallerCall;
-  const onMoved = vi.fn();
-  const recovery = createStageRecovery(call, run, { parts, onMoved });
+  const onPipelineChanged = vi.fn();
+  const recovery = createStageRecovery(call, run, { parts, onPipelineChanged });
   const settle = (ms = 0) => vi.advanceTimersByTimeAsync(ms);
-  return { run, asked, refused, recovery, onMoved, settle };
+  return {
+    run,
+    requestedEngines,
+    refused,
+    recovery,
+    onPipelineChanged,
+    settle,
+  };
 }
 
-const full = (id: string): MoveAnswer => ({
+const full = (id: string): PipelineChangeOutcome => ({
   kind: "no_room",
   address: `${id}:1`,
 });
 
-describe("a stage that is lost", () => {
-  it("is replaced by the next engine when the first one is full", async () => {
-    const { run, asked, refused, recovery, onMoved, settle } = setUp({
+describe("recovery of a lost stage", () => {
+  it("tries the next engine when the first one is full", async () => {
+    const {
+      run,
+      requestedEngines,
+      refused,
+      recovery,
+      onPipelineChanged,
+      settle,
+    } = setUp({
       answers: [full("s1"), { kind: "moved" }],
     });
     recovery.onStall(STAGE_LOST);
     await settle();
-    expect(asked).toEqual(["s1", "s2"]);
+    expect(requestedEngines).toEqual(["s1", "s2"]);
     expect(refused).toEqual(["s1"]);
     expect(run.pipeline.stages.at(-1)?.engineId).toBe("s2");
-    expect(onMoved).toHaveBeenCalledOnce();
+    expect(onPipelineChanged).toHaveBeenCalledOnce();
     expect(run.stop.signal.aborted).toBe(false);
   });
 
-  it("has its run given up after three engines without room", async () => {
-    const { run, asked, recovery, settle } = setUp({
+  it("stops the run after three engines without room", async () => {
+    const { run, requestedEngines, recovery, settle } = setUp({
       answers: [full("s1"), full("s2"), full("s3")],
       hasRoomElsewhere: true,
     });
     recovery.onStall(STAGE_LOST);
     await settle();
-    expect(asked).toEqual(["s1", "s2", "s3"]);
+    expect(requestedEngines).toEqual(["s1", "s2", "s3"]);
     expect(run.stop.signal.aborted).toBe(true);
     expect(recovery.cause()).toBe("stage_away");
   });
 
-  it("has its run given up when a stage that stays has no room", async () => {
-    const { run, asked, recovery, settle } = setUp({
+  it("stops the run when a remaining stage has no room", async () => {
+    const { run, requestedEngines, recovery, settle } = setUp({
       answers: [full("first")],
       hasRoomElsewhere: true,
     });
     recovery.onStall(STAGE_LOST);
     await settle();
-    expect(asked).toEqual(["s1"]);
+    expect(requestedEngines).toEqual(["s1"]);
     expect(run.stop.signal.aborted).toBe(true);
   });
 
-  it("is waited for while an engine of its domain loads its layers", async () => {
+  it("waits while an engine of the same domain loads the layers", async () => {
     let loaded: readonly string[] = [];
-    const { run, asked, recovery, settle } = setUp({
-      near: () => loaded,
-      far: ["f1"],
+    const { run, requestedEngines, recovery, settle } = setUp({
+      sameDomainEngines: () => loaded,
+      otherDomainEngines: ["f1"],
     });
     recovery.onStall(STAGE_LOST);
     await settle(900);
-    expect(asked).toEqual([]);
+    expect(requestedEngines).toEqual([]);
     loaded = ["s1"];
     await settle(50);
-    expect(asked).toEqual(["s1"]);
+    expect(requestedEngines).toEqual(["s1"]);
     expect(run.stop.signal.aborted).toBe(false);
   });
 
-  it("is replaced from another domain before its caller leaves", async () => {
-    const { run, asked, recovery, settle } = setUp({
-      near: () => [],
-      far: ["f1"],
+  it("uses another domain before the caller gives up", async () => {
+    const { run, requestedEngines, recovery, settle } = setUp({
+      sameDomainEngines: () => [],
+      otherDomainEngines: ["f1"],
     });
     recovery.onStall(STAGE_LOST);
     await settle(1_400);
-    expect(asked).toEqual([]);
+    expect(requestedEngines).toEqual([]);
     await settle(200);
-    expect(asked).toEqual(["f1"]);
+    expect(requestedEngines).toEqual(["f1"]);
     expect(run.stop.signal.aborted).toBe(false);
   });
 
-  it("has its run go elsewhere at once where there is room", async () => {
+  it("stops the run at once when another pipeline has room", async () => {
     const { run, recovery, settle } = setUp({
-      near: () => [],
+      sameDomainEngines: () => [],
       hasRoomElsewhere: true,
     });
     recovery.onStall(STAGE_LOST);
@@ -175,18 +193,20 @@
     expect(run.avoided.has("dead")).toBe(true);
   });
 
-  it("is left alone when the answer goes on meanwhile", async () => {
-    const { run, asked, recovery, settle } = setUp({ near: () => [] });
+  it("stops when an event of the answer arrives", async () => {
+    const { run, requestedEngines, recovery, settle } = setUp({
+      sameDomainEngines: () => [],
+    });
     recovery.onStall(STAGE_LOST);
     await settle(500);
-    recovery.heard();
+    recovery.onEvent();
     await settle(5_000);
-    expect(asked).toEqual([]);
+    expect(requestedEngines).toEqual([]);
     expect(run.stop.signal.aborted).toBe(false);
   });
 });
 
-it("a run whose first engine is lost is given up at once", () => {
+it("recovery stops a run at once when its first engine is lost", () => {
   const { run, recovery } = setUp();
   recovery.onStall({ kind: "first_engine" });
   expect(run.stop.signal.aborted).toBe(true);
