--- a/packages/bench/src/answers/leave_rounds.ts
+++ b/packages/bench/src/answers/leave_rounds.ts
@@ -1,9 +1,9 @@
 /** How long answers move off an engine that leaves, and at what cost. */
 import {
   createLinkSpeeds,
-  defaultMoveLimits,
+  defaultMigrationLimits,
   type LinkSpeeds,
-  type MoveLimits,
+  type MigrationLimits,
   runAnswer,
 } from "@rosemarypin/calls";
 import type { EngineGroup, RunEntry } from "@rosemarypin/stand_ins";
@@ -25,15 +25,15 @@
 const SETTLE_MS = 300;
 const CACHE_BYTES = 4_096;
 const MILLIS = 1_000;
-const STAY: MoveLimits = {
-  ...defaultMoveLimits,
-  restMs: Number.POSITIVE_INFINITY,
+const STAY: MigrationLimits = {
+  ...defaultMigrationLimits,
+  minBenefitMs: Number.POSITIVE_INFINITY,
 };
 
 /** Makes each import look too slow, so that all is recomputed. */
 const NO_LINKS: LinkSpeeds = {
   observe() {},
-  observeGivenUp() {},
+  observeTimeout() {},
   bytesPerSecond: () => 1,
 };
 const FAST_LINK = 2e9;
@@ -46,7 +46,7 @@
   /** Whether the engine leaves, or its link degrades. */
   readonly fault?: "leave" | "slow";
   readonly bytesPerSecond: number;
-  readonly moves?: MoveLimits;
+  readonly moves?: MigrationLimits;
   readonly links?: LinkSpeeds;
   readonly rounds?: number;
 }
@@ -106,7 +106,7 @@
   options: Case & { readonly number: number; readonly links: LinkSpeeds },
 ): Promise<Round | null> {
   const { name, number, links, bytesPerSecond } = options;
-  const { moves = defaultMoveLimits } = options;
+  const { moves = defaultMigrationLimits } = options;
   for (const { id } of group.engines) {
     await group.slowExports(id, bytesPerSecond);
   }
--- a/packages/bench/src/bookings/bookings_bench.ts
+++ b/packages/bench/src/bookings/bookings_bench.ts
@@ -3,14 +3,14 @@
 import {
   type Claim,
   type ClaimRequest,
-  createRecordClaims,
+  createObjectClaimStore,
 } from "@rosemarypin/calls";
 import { createObjectStore } from "@rosemarypin/platform";
 import { startStore } from "@rosemarypin/platform/stand_in";
 import {
   createGuardedObjectStore,
+  LONG_WATCH_TIMEOUTS,
   type ObjectStore,
-  PATIENT_STORE_TIMES,
 } from "@rosemarypin/store";
 import { pause } from "@rosemarypin/timing";
 import { build, type Histogram } from "hdr-histogram-js";
@@ -77,7 +77,7 @@
   const stores = Array.from({ length: INSTANCES }, () =>
     countStore(
       createGuardedObjectStore({
-        client: createObjectStore(api.address, PATIENT_STORE_TIMES),
+        client: createObjectStore(api.address, LONG_WATCH_TIMEOUTS),
         callsPerSecond: 10_000,
       }),
       cost,
@@ -143,7 +143,7 @@
 }
 
 function recordWay(store: ObjectStore, index: number): Way {
-  const claims = createRecordClaims({
+  const claims = createObjectClaimStore({
     deployment: "bench",
     owner: `entry-${index}`,
     incarnation: 1,
--- a/packages/bench/src/store/clients.ts
+++ b/packages/bench/src/store/clients.ts
@@ -4,8 +4,8 @@
 import {
   createGuardedObjectStore,
   followObjects,
+  LONG_WATCH_TIMEOUTS,
   type ObjectStore,
-  PATIENT_STORE_TIMES,
 } from "@rosemarypin/store";
 import { pause } from "@rosemarypin/timing";
 
@@ -30,7 +30,7 @@
 /** As the daemon has it: breaker, full jitter, budget. */
 export const startOwnClient: StartClient = ({ address, fleet, signal }) => {
   const store = createGuardedObjectStore({
-    client: createObjectStore(address, PATIENT_STORE_TIMES),
+    client: createObjectStore(address, LONG_WATCH_TIMEOUTS),
     callsPerSecond: CALLS_PER_SECOND,
     instances: () => fleet,
   });
@@ -41,7 +41,7 @@
 
 /** For comparison: no breaker, and every call that failed again in 1 s. */
 export const startPlainClient: StartClient = ({ address, signal }) => {
-  const store = createObjectStore(address, PATIENT_STORE_TIMES);
+  const store = createObjectStore(address, LONG_WATCH_TIMEOUTS);
   void watchPlainly(store, signal);
   repeat(() => store.read(LEASE_KEY), LEASE_EVERY_MS, signal);
   repeat(() => writeClaim(store), CLAIM_EVERY_MS, signal);
--- a/packages/calls/src/answer.ts
+++ b/packages/calls/src/answer.ts
@@ -20,9 +20,9 @@
   type TokenPace,
 } from "./answer_liveness.ts";
 import {
-  defaultMoveLimits,
+  defaultMigrationLimits,
   type Migration,
-  type MoveLimits,
+  type MigrationLimits,
   releaseMigration,
 } from "./answer_migration.ts";
 import {
@@ -53,7 +53,7 @@
    * default speeds.
    */
   readonly links?: LinkSpeeds;
-  readonly moves?: MoveLimits;
+  readonly moves?: MigrationLimits;
 }
 
 interface RunOptions extends AnswerDependencies {
@@ -191,7 +191,7 @@
   try {
     if (signal.aborted) return { kind: "retry", reason: "caller disconnected" };
     const liveness = options.liveness ?? defaultLiveness;
-    const moves = options.moves ?? defaultMoveLimits;
+    const moves = options.moves ?? defaultMigrationLimits;
     const onFirstToken = () => {
       releaseSlot?.();
       if (isLossRecovery) metrics?.recoveries.inc({ model: request.model });
--- a/packages/calls/src/answer_attempt.ts
+++ b/packages/calls/src/answer_attempt.ts
@@ -87,7 +87,7 @@
   const [first] = attempt.stages;
   if (!first) throw new Error("a pipeline has at least one stage");
   const timeout = new AbortController();
-  const timer = setTimeout(() => timeout.abort(), liveness.startMs);
+  const timer = setTimeout(() => timeout.abort(), liveness.startTimeoutMs);
   try {
     return await engines.start(first.address, attempt, {
       signal: AbortSignal.any([signal, timeout.signal]),
--- a/packages/calls/src/answer_attempt_state.ts
+++ b/packages/calls/src/answer_attempt_state.ts
@@ -6,7 +6,11 @@
 import type { Metrics } from "@rosemarypin/telemetry";
 import type { LinkSpeeds } from "./answer_link_speeds.ts";
 import type { LivenessLimits, TokenPace } from "./answer_liveness.ts";
-import type { Migration, Migrator, MoveLimits } from "./answer_migration.ts";
+import type {
+  Migration,
+  MigrationLimits,
+  Migrator,
+} from "./answer_migration.ts";
 import type { Progress } from "./answer_progress.ts";
 import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 
@@ -27,7 +31,7 @@
   readonly router: Pick<Router, "acquire">;
   readonly recoveries: RecoveryLimiter;
   readonly links: LinkSpeeds;
-  readonly moves: MoveLimits;
+  readonly moves: MigrationLimits;
   readonly metrics?: Metrics;
   readonly liveness: LivenessLimits;
   readonly pace: TokenPace;
--- a/packages/calls/src/answer_cache_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -136,7 +136,7 @@
   const bytes = cacheBytesOf(stage, { positions, holder });
   const link = linkOf(stage, options);
   const transfer = { bytes, durationMs: elapsedMs };
-  if (link) options.links.observeGivenUp(link, transfer);
+  if (link) options.links.observeTimeout(link, transfer);
 }
 
 function linkOf(stage: Stage, { fleet }: ImportContext): Link | null {
--- a/packages/calls/src/answer_cache_import_plan_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -69,7 +69,7 @@
     positions: POSITIONS,
     links: {
       observe() {},
-      observeGivenUp() {},
+      observeTimeout() {},
       bytesPerSecond: () => bytesPerSecond,
     },
   });
--- a/packages/calls/src/answer_link_speeds.ts
+++ b/packages/calls/src/answer_link_speeds.ts
@@ -43,7 +43,7 @@
    * for the two engines only and not for their failure domains, since one of
    * the engines may be frozen.
    */
-  observeGivenUp(link: Link, transfer: Transfer): void;
+  observeTimeout(link: Link, transfer: Transfer): void;
   /**
    * Average of the two engines, else of their failure domains, else a default
    * that is fast enough for a first transfer to be tried.
@@ -65,7 +65,7 @@
     forgetMs,
   });
   return {
-    observeGivenUp(link, transfer) {
+    observeTimeout(link, transfer) {
       engines.observe(engineKey(link), transfer);
     },
     observe(link, transfer) {
--- a/packages/calls/src/answer_link_speeds_test.ts
+++ b/packages/calls/src/answer_link_speeds_test.ts
@@ -33,7 +33,7 @@
    */
   it("count a timed-out transfer for its two engines only", () => {
     const speeds = createLinkSpeeds();
-    speeds.observeGivenUp(link("a", "b"), SLOW_TRANSFER);
+    speeds.observeTimeout(link("a", "b"), SLOW_TRANSFER);
     expect(speeds.bytesPerSecond(link("a", "b"))).toBe(1_000);
     expect(speeds.bytesPerSecond(link("c", "d"))).toBe(DEFAULT_SPEED);
   });
@@ -54,7 +54,7 @@
   it("evict the least recently measured pairs", () => {
     const speeds = createLinkSpeeds();
     for (let number = 0; number < 600; number++) {
-      speeds.observeGivenUp(link(`engine-${number}`, "b"), SLOW_TRANSFER);
+      speeds.observeTimeout(link(`engine-${number}`, "b"), SLOW_TRANSFER);
     }
     expect(speeds.bytesPerSecond(link("engine-599", "b"))).toBe(1_000);
     expect(speeds.bytesPerSecond(link("engine-0", "b"))).toBe(DEFAULT_SPEED);
--- a/packages/calls/src/answer_liveness.ts
+++ b/packages/calls/src/answer_liveness.ts
@@ -5,25 +5,25 @@
 /** Timeouts by which a silent stream is checked for lost stages. */
 export interface LivenessLimits {
   /** Time in which an engine must accept an attempt. */
-  readonly startMs: number;
+  readonly startTimeoutMs: number;
   /** Silence before the first token after which stages are probed. */
   readonly firstTokenMs: number;
   /** Bounds of the silence between tokens after which stages are probed. */
-  readonly shortestSilenceMs: number;
-  readonly longestSilenceMs: number;
+  readonly minSilenceMs: number;
+  readonly maxSilenceMs: number;
   /** Timeout of a probe. */
   readonly probeMs: number;
   /** Silence after which a message is assumed lost if all stages respond. */
-  readonly lostMessageMs: number;
+  readonly lostMessageTimeoutMs: number;
 }
 
 export const defaultLiveness: LivenessLimits = {
-  startMs: 1_000,
+  startTimeoutMs: 1_000,
   firstTokenMs: 500,
-  shortestSilenceMs: 100,
-  longestSilenceMs: 1_000,
+  minSilenceMs: 100,
+  maxSilenceMs: 1_000,
   probeMs: 300,
-  lostMessageMs: 3_000,
+  lostMessageTimeoutMs: 3_000,
 };
 
 /** Multiple of the average gap between tokens that counts as silence. */
@@ -58,8 +58,8 @@
       if (averageMs === null) return limits.firstTokenMs;
       const silenceMs = averageMs * SILENCE_GAP_FACTOR;
       return Math.min(
-        limits.longestSilenceMs,
-        Math.max(limits.shortestSilenceMs, silenceMs),
+        limits.maxSilenceMs,
+        Math.max(limits.minSilenceMs, silenceMs),
       );
     },
   };
--- a/packages/calls/src/answer_migration.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -12,19 +12,19 @@
 import type { RecoveryLimiter } from "./answer_recovery_limiter.ts";
 
 /** Thresholds for migrating an answer. */
-export interface MoveLimits {
+export interface MigrationLimits {
   /** Minimum expected remaining time or gain for a migration. */
-  readonly restMs: number;
+  readonly minBenefitMs: number;
   /** Excess over the typical send time from which a link counts as slow. */
-  readonly slowMs: number;
+  readonly slowLinkMs: number;
   /** Interval of checks; the fleet refreshes its state no more often. */
-  readonly lookMs: number;
+  readonly checkIntervalMs: number;
 }
 
-export const defaultMoveLimits: MoveLimits = {
-  restMs: 1_000,
-  slowMs: 10,
-  lookMs: 500,
+export const defaultMigrationLimits: MigrationLimits = {
+  minBenefitMs: 1_000,
+  slowLinkMs: 10,
+  checkIntervalMs: 500,
 };
 
 const log = createLogger("answer");
@@ -62,7 +62,7 @@
   readonly router: Pick<Router, "acquire">;
   readonly recoveries: RecoveryLimiter;
   readonly pace: TokenPace;
-  readonly moves: MoveLimits;
+  readonly moves: MigrationLimits;
 }
 
 /**
@@ -87,7 +87,7 @@
       return migration;
     }
     const now = performance.now();
-    if (isPreparing || now - lastCheckAt < moves.lookMs) return null;
+    if (isPreparing || now - lastCheckAt < moves.checkIntervalMs) return null;
     lastCheckAt = now;
     const plan = findMigrationSources(fleet.engines(), {
       ...attempt,
@@ -100,7 +100,7 @@
   function estimateRemaining() {
     const remainingTokens = request.maxTokens - progress.deliveredTokens.length;
     const remainingMs = remainingTokens * (pace.averageGapMs() ?? 0);
-    const { restMs: minBenefitMs, slowMs: slowLinkMs } = moves;
+    const { minBenefitMs, slowLinkMs } = moves;
     return { remainingTokens, remainingMs, minBenefitMs, slowLinkMs };
   }
 
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -30,12 +30,12 @@
 };
 /** Long enough that a busy machine doesn't make a stage look lost. */
 const LONG_TIMEOUTS = {
-  startMs: 10_000,
+  startTimeoutMs: 10_000,
   firstTokenMs: 10_000,
-  shortestSilenceMs: 10_000,
-  longestSilenceMs: 10_000,
+  minSilenceMs: 10_000,
+  maxSilenceMs: 10_000,
   probeMs: 10_000,
-  lostMessageMs: 10_000,
+  lostMessageTimeoutMs: 10_000,
 };
 /** High enough that an import is always cheaper than recomputing. */
 const PROMPT_MICROS = 1_000_000;
@@ -129,7 +129,11 @@
     liveness: LONG_TIMEOUTS,
     recoveries: createRecoveryLimiter(),
     links: createLinkSpeeds(),
-    moves: { restMs: options.minBenefitMs ?? 0, slowMs: SLOW_MS, lookMs: 1 },
+    moves: {
+      minBenefitMs: options.minBenefitMs ?? 0,
+      slowLinkMs: SLOW_MS,
+      checkIntervalMs: 1,
+    },
     signal: new AbortController().signal,
   });
   for await (const event of answer) {
@@ -325,7 +329,7 @@
       },
       recoveries: limiter,
       pace: createTokenPace(defaultLiveness),
-      moves: { restMs: 0, slowMs: SLOW_MS, lookMs: 0 },
+      moves: { minBenefitMs: 0, slowLinkMs: SLOW_MS, checkIntervalMs: 0 },
     });
     expect(migrator.takeMigration()).toBeNull();
     await vi.advanceTimersByTimeAsync(0);
--- a/packages/calls/src/answer_stall.ts
+++ b/packages/calls/src/answer_stall.ts
@@ -28,7 +28,7 @@
   }
   // All stages respond but no event arrives: a message between them was lost.
   // The next attempt reuses the same KV caches, so a retry is cheap.
-  if (silentMs < liveness.lostMessageMs) return null;
+  if (silentMs < liveness.lostMessageTimeoutMs) return null;
   return { kind: "retry", reason: "a message was lost" };
 }
 
--- a/packages/calls/src/answer_test.ts
+++ b/packages/calls/src/answer_test.ts
@@ -25,12 +25,12 @@
   [21, 22],
 ] as const;
 const SHORT_TIMEOUTS = {
-  startMs: 30,
+  startTimeoutMs: 30,
   firstTokenMs: 20,
-  shortestSilenceMs: 20,
-  longestSilenceMs: 20,
+  minSilenceMs: 20,
+  maxSilenceMs: 20,
   probeMs: 20,
-  lostMessageMs: 60,
+  lostMessageTimeoutMs: 60,
 };
 
 function note(number: number, versions: readonly string[]) {
--- a/packages/calls/src/claim_registry_test.ts
+++ b/packages/calls/src/claim_registry_test.ts
@@ -8,13 +8,13 @@
   return { kind: "answered", status: 200, contentType: "x", body } as const;
 }
 
-describe("the memory of ended calls", () => {
-  it("forgets the oldest answers before they fill the heap", async () => {
+describe("claim registry", () => {
+  it("evicts the oldest answers before they fill the heap", async () => {
     const registry = createClaimRegistry({ incarnation: 1 });
     registry.begin("runs");
     for (let count = 0; count < 20; count++) {
       registry.begin(`r${count}`);
-      registry.endSent(`r${count}`, answered(MEGABYTE));
+      registry.settle(`r${count}`, answered(MEGABYTE));
     }
     const ask = async (requestId: string) => {
       const question = { requestId, incarnation: 1, waitMs: 0 };
@@ -26,10 +26,10 @@
     expect(await ask("runs")).toBe("running");
   });
 
-  it("answers only for the process that made the claim", async () => {
+  it("reports a claim of an earlier process as forgotten", async () => {
     const registry = createClaimRegistry({ incarnation: 2 });
     registry.begin("r1");
-    registry.endUnsent("r1");
+    registry.settleNeverSent("r1");
     const question = { requestId: "r1", incarnation: 1, waitMs: 0 };
     expect(await registry.ask(question)).toEqual({ kind: "forgotten" });
   });
--- a/packages/calls/src/mod.ts
+++ b/packages/calls/src/mod.ts
@@ -1,4 +1,4 @@
-/** One call from admission to its final answer. */
+/** Handling of one call or streamed answer, from admission to its result. */
 export * from "./answer.ts";
 export * from "./answer_event.ts";
 export * from "./answer_link_speeds.ts";
@@ -12,7 +12,7 @@
 export * from "./claim_registry.ts";
 export * from "./claim_store.ts";
 export * from "./claim_sweeper.ts";
-export * from "./end_recorder.ts";
-export * from "./record_claims.ts";
+export * from "./object_claim_store.ts";
+export * from "./result_recorder.ts";
 export * from "./service_call.ts";
 export * from "./service_context.ts";
--- a/packages/checks/src/answer_parts.ts
+++ b/packages/checks/src/answer_parts.ts
@@ -38,16 +38,16 @@
   batchSize: 32,
 };
 const LIVENESS: LivenessLimits = {
-  startMs: 400,
+  startTimeoutMs: 400,
   firstTokenMs: 300,
-  shortestSilenceMs: 80,
-  longestSilenceMs: 400,
+  minSilenceMs: 80,
+  maxSilenceMs: 400,
   probeMs: 200,
-  lostMessageMs: 600,
+  lostMessageTimeoutMs: 600,
 };
 /** Answers here are short, so all that can be moved are. */
 const FORGET_LINKS_MS = 500;
-const MOVES = { restMs: 0, slowMs: 20, lookMs: 5 };
+const MOVES = { minBenefitMs: 0, slowLinkMs: 20, checkIntervalMs: 5 };
 
 /** Starts three stages of engines and two instances that share them. */
 export async function startParts(random: SeededRandom) {
--- a/packages/checks/src/bookings/instance.ts
+++ b/packages/checks/src/bookings/instance.ts
@@ -4,8 +4,8 @@
   type ClaimOwners,
   type ClaimRegistry,
   createClaimRegistry,
-  createEndRecorder,
-  createRecordClaims,
+  createObjectClaimStore,
+  createResultRecorder,
   createServiceCaller,
 } from "@rosemarypin/calls";
 import {
@@ -71,7 +71,7 @@
       return result;
     },
   };
-  const claims = createRecordClaims({
+  const claims = createObjectClaimStore({
     deployment: "check",
     owner: id,
     incarnation,
@@ -85,7 +85,7 @@
     registry,
     owners,
     failureDomain: DOMAIN,
-    ends: createEndRecorder({ claims }),
+    resultRecorder: createResultRecorder({ claims }),
   });
   return { id, process, registry, call };
 }
--- a/packages/daemon/src/claim_owners.ts
+++ b/packages/daemon/src/claim_owners.ts
@@ -1,5 +1,9 @@
 /** Asks other instances what became of the calls they claimed. */
-import type { ClaimOwners, ClaimRegistry, OwnerWord } from "@rosemarypin/calls";
+import type {
+  ClaimOwners,
+  ClaimRegistry,
+  OwnerReply,
+} from "@rosemarypin/calls";
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
 import {
   type ClaimObject,
@@ -28,7 +32,7 @@
   async function askPeer(
     owner: string,
     question: ClaimQuestion,
-  ): Promise<OwnerWord> {
+  ): Promise<OwnerReply> {
     const member = membership.peers().find(({ record }) => record.id === owner);
     if (!member || member.record.left) return { kind: "gone" };
     const result = await peers.call(member.record.peer, METHOD, {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -33,7 +33,7 @@
 } from "@rosemarypin/schemas";
 import {
   createGuardedObjectStore,
-  PATIENT_STORE_TIMES,
+  LONG_WATCH_TIMEOUTS,
   readPeerHints,
 } from "@rosemarypin/store";
 import { createLogger, createMetrics } from "@rosemarypin/telemetry";
@@ -107,7 +107,7 @@
   });
   const storeAddress = new URL(settings.platform.objectApi).host;
   const store = createGuardedObjectStore({
-    client: createObjectStore(storeAddress, PATIENT_STORE_TIMES),
+    client: createObjectStore(storeAddress, LONG_WATCH_TIMEOUTS),
     callsPerSecond: settings.platform.callsPerSecond,
     instances: () => membership.peers().length + 1,
     metrics,
--- a/packages/daemon/src/end_hand_over.ts
+++ b/packages/daemon/src/end_hand_over.ts
@@ -1,5 +1,5 @@
 /** Passes unrecorded ends of calls on to other instances at a planned stop. */
-import type { EndRecorder, GiveEnd } from "@rosemarypin/calls";
+import type { ResultRecorder, SendResult } from "@rosemarypin/calls";
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
 import { type ClaimEnd, claimEndSchema } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
@@ -12,7 +12,7 @@
 const log = createLogger("claims");
 
 export interface EndHandOverOptions {
-  readonly ends: EndRecorder;
+  readonly ends: ResultRecorder;
   readonly membership: Pick<Membership, "peers">;
   readonly peers: PeerCaller;
 }
@@ -47,7 +47,7 @@
 async function giveToAnyone(
   end: ClaimEnd,
   { membership, peers }: EndHandOverOptions,
-): ReturnType<GiveEnd> {
+): ReturnType<SendResult> {
   const staying = membership
     .peers()
     .filter(
@@ -61,7 +61,7 @@
 }
 
 /** The peers' method that takes an end over. */
-export function endHandOverMethods(ends: EndRecorder) {
+export function endHandOverMethods(ends: ResultRecorder) {
   return {
     [METHOD]: (params: unknown) => ends.adopt(claimEndSchema.parse(params)),
   };
--- a/packages/daemon/src/end_hand_over_test.ts
+++ b/packages/daemon/src/end_hand_over_test.ts
@@ -1,4 +1,4 @@
-import { createEndRecorder } from "@rosemarypin/calls";
+import { createResultRecorder } from "@rosemarypin/calls";
 import type { Member, PeerResult } from "@rosemarypin/membership";
 import type { ClaimObject } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
@@ -18,7 +18,7 @@
 function createStopping(members: readonly Member[]) {
   const kept: string[] = [];
   const asked: number[] = [];
-  const staying = createEndRecorder({
+  const staying = createResultRecorder({
     claims: {
       async settle({ key }) {
         kept.push(key);
@@ -26,7 +26,7 @@
       },
     },
   });
-  const ends = createEndRecorder({ claims: { settle: async () => false } });
+  const ends = createResultRecorder({ claims: { settle: async () => false } });
   ends.record(
     { key: "claims/r1", object: CLAIM, version: 1 },
     { kind: "unknown", reason: "reset" },
--- a/packages/daemon/src/engine_control.ts
+++ b/packages/daemon/src/engine_control.ts
@@ -67,7 +67,7 @@
     store: options.store,
     isCandidate: () =>
       isLeaseCandidate(listCandidates(membership), { id, failureDomain }),
-    onHeld: () => void keeper.refresh().then(() => controller.wake()),
+    onAcquired: () => void keeper.refresh().then(() => controller.wake()),
   });
   const engines = settings.engines.filter(
     (engine) => engine.failureDomain === failureDomain,
--- a/packages/daemon/src/plain_services.ts
+++ b/packages/daemon/src/plain_services.ts
@@ -3,8 +3,8 @@
 import {
   createClaimRegistry,
   createClaimSweeper,
-  createEndRecorder,
-  createRecordClaims,
+  createObjectClaimStore,
+  createResultRecorder,
   createServiceCaller,
 } from "@rosemarypin/calls";
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
@@ -37,13 +37,13 @@
     client: createServiceClient(),
   });
   const registry = createClaimRegistry({ incarnation });
-  const claims = createRecordClaims({
+  const claims = createObjectClaimStore({
     deployment,
     owner: id,
     incarnation,
     store,
   });
-  const ends = createEndRecorder({ claims });
+  const ends = createResultRecorder({ claims });
   const call = createServiceCaller({
     keeper: options.keeper,
     services,
@@ -53,7 +53,7 @@
     owners: createPeerClaimOwners({ id, membership, peers, registry }),
     failureDomain,
     metrics: options.metrics,
-    ends,
+    resultRecorder: ends,
   });
   const sweeper = createClaimSweeper({
     deployment,
--- a/packages/gateway/src/following/change_relay.ts
+++ b/packages/gateway/src/following/change_relay.ts
@@ -4,7 +4,7 @@
  * store, so its load does not grow with every instance.
  */
 import type { PeerMethods } from "@rosemarypin/membership";
-import { createAlarm, pause } from "@rosemarypin/timing";
+import { createInterruptibleTimer, pause } from "@rosemarypin/timing";
 import type { ObjectMirror } from "./object_mirror.ts";
 import {
   FOLLOW_METHOD,
@@ -80,9 +80,9 @@
    * a prefix may not change for hours, and they would pile up.
    */
   async function waitForChange(withinMs: number): Promise<void> {
-    const alarm = createAlarm();
+    const alarm = createInterruptibleTimer();
     const unsubscribers = mirrors().map(({ changeLog }) =>
-      changeLog.onChange(alarm.ring),
+      changeLog.onChange(alarm.interrupt),
     );
     await alarm.wait(withinMs, signal);
     for (const unsubscribe of unsubscribers) unsubscribe();
--- a/packages/gateway/src/following/object_mirror.ts
+++ b/packages/gateway/src/following/object_mirror.ts
@@ -10,7 +10,7 @@
 import { type ChangeLog, type Changes, createChangeLog } from "./change_log.ts";
 
 /** Short, because a change must take effect within two seconds of its write. */
-const RETRY_BACKOFF = { firstMs: 80, largestMs: 600 } as const;
+const RETRY_BACKOFF = { firstMs: 80, maxMs: 600 } as const;
 /**
  * Interval of full reads. A watch may skip a change, and entries may expire and
  * be written again during an outage of the store; a full read repairs the copy.
--- a/packages/gateway/src/placement/placement_loop.ts
+++ b/packages/gateway/src/placement/placement_loop.ts
@@ -7,7 +7,7 @@
   type PlannedEngine,
 } from "@rosemarypin/pipelines";
 import { createLogger } from "@rosemarypin/telemetry";
-import { createAlarm, pause } from "@rosemarypin/timing";
+import { createInterruptibleTimer, pause } from "@rosemarypin/timing";
 import type { BackendServer } from "../backend_server.ts";
 import type { BackendFleet } from "../backends/mod.ts";
 import type { EngineShape, Service } from "../configuration.ts";
@@ -60,11 +60,11 @@
   const { keeper, fleet, engines, signal } = options;
   const pending = new Map<string, PendingOrder>();
   const planners = new Map<string, LayerPlanner>();
-  const changeAlarm = createAlarm();
+  const changeAlarm = createInterruptibleTimer();
   let changedAt = performance.now();
   fleet.onChanged(() => {
     changedAt = performance.now();
-    changeAlarm.ring();
+    changeAlarm.interrupt();
   });
   void run();
 
--- a/packages/gateway/src/streams/usage_exchange.ts
+++ b/packages/gateway/src/streams/usage_exchange.ts
@@ -9,7 +9,7 @@
 } from "@rosemarypin/membership";
 import { type Address, formatAddress } from "@rosemarypin/schemas";
 import { createLogger } from "@rosemarypin/telemetry";
-import { createAlarm, pause } from "@rosemarypin/timing";
+import { createInterruptibleTimer, pause } from "@rosemarypin/timing";
 import { z } from "zod";
 import type { EngineLoad, EngineUsage, LoadByEngine } from "./engine_usage.ts";
 
@@ -79,9 +79,9 @@
   let lastChangeAt = -Infinity;
   let sequence = 0;
   let unreadableLoggedAt = -Infinity;
-  const localChange = createAlarm();
+  const localChange = createInterruptibleTimer();
   transport.onDatagram(receive);
-  usage.onChanged(localChange.ring);
+  usage.onChanged(localChange.interrupt);
   void runSendLoop();
 
   async function runSendLoop(): Promise<void> {
--- a/packages/placement/src/control_lease.ts
+++ b/packages/placement/src/control_lease.ts
@@ -43,7 +43,7 @@
   readonly isCandidate?: () => boolean;
   readonly times?: LeaseTimes;
   /** Called after the lease was acquired. */
-  readonly onHeld?: () => void;
+  readonly onAcquired?: () => void;
 }
 
 /** A lease that is certain to be valid now. */
@@ -207,7 +207,7 @@
         domain: failureDomain,
         fencing_number: fencingNumber,
       });
-      options.onHeld?.();
+      options.onAcquired?.();
     }
     return true;
   }
--- a/packages/timing/src/alarm.ts
+++ b/packages/timing/src/alarm.ts
@@ -1,18 +1,18 @@
-/** A wait that others may end before its time. */
+/** A delay that can be ended early. */
 
-export interface Alarm {
-  /** Ends the wait that is on; does nothing without one. */
-  ring(): void;
-  /** Resolves after `longestMs`, when it rings, or when the signal aborts. */
+export interface InterruptibleTimer {
+  /** Ends the current wait; does nothing if there is none. */
+  interrupt(): void;
+  /** Resolves after `longestMs`, on `ring`, or when the signal is aborted. */
   wait(longestMs: number, signal: AbortSignal): Promise<void>;
 }
 
 /** Creates an alarm for one waiter at a time. */
-export function createAlarm(): Alarm {
+export function createInterruptibleTimer(): InterruptibleTimer {
   let end: (() => void) | null = null;
 
   return {
-    ring() {
+    interrupt() {
       end?.();
     },
     wait(longestMs, signal) {
--- a/packages/timing/src/alarm_test.ts
+++ b/packages/timing/src/alarm_test.ts
@@ -1,9 +1,9 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { createAlarm } from "./alarm.ts";
+import { createInterruptibleTimer } from "./alarm.ts";
 
 const RUNNING = new AbortController().signal;
 
-describe("an alarm", () => {
+describe("alarm", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -11,34 +11,34 @@
     vi.useRealTimers();
   });
 
-  it("ends a wait when its time is over", async () => {
+  it("ends a wait after its time", async () => {
     const ended = vi.fn();
-    void createAlarm().wait(100, RUNNING).then(ended);
+    void createInterruptibleTimer().wait(100, RUNNING).then(ended);
     await vi.advanceTimersByTimeAsync(99);
     expect(ended).not.toHaveBeenCalled();
     await vi.advanceTimersByTimeAsync(1);
     expect(ended).toHaveBeenCalledOnce();
   });
 
-  it("ends a wait when it rings, and leaves no timer", async () => {
-    const alarm = createAlarm();
+  it("ends a wait on ring and leaves no timer", async () => {
+    const alarm = createInterruptibleTimer();
     const waiting = alarm.wait(100, RUNNING);
-    alarm.ring();
+    alarm.interrupt();
     await waiting;
     expect(vi.getTimerCount()).toBe(0);
   });
 
-  it("does not keep a ring for the next wait", async () => {
-    const alarm = createAlarm();
-    alarm.ring();
+  it("ignores a ring before the wait", async () => {
+    const alarm = createInterruptibleTimer();
+    alarm.interrupt();
     const ended = vi.fn();
     void alarm.wait(100, RUNNING).then(ended);
     await vi.advanceTimersByTimeAsync(50);
     expect(ended).not.toHaveBeenCalled();
   });
 
-  it("does not wait for an aborted signal", async () => {
-    await createAlarm().wait(100, AbortSignal.abort());
+  it("does not wait if the signal is already aborted", async () => {
+    await createInterruptibleTimer().wait(100, AbortSignal.abort());
     expect(vi.getTimerCount()).toBe(0);
   });
 });
