--- a/packages/gateway/src/backends/domain_suspicion.ts
+++ b/packages/gateway/src/backends/domain_suspicion.ts
@@ -1,10 +1,10 @@
 /** Detects that a whole failure domain may be unreachable. */
 
-/** Failures within `SILENT_WITHIN_MS` that make a domain suspect. */
-const SILENT_SERVERS_THRESHOLD = 2;
-const SILENT_WITHIN_MS = 1_000;
+/** Failures within `FAILURE_WINDOW_MS` that make a domain suspect. */
+const FAILURE_THRESHOLD = 2;
+const FAILURE_WINDOW_MS = 1_000;
 /** Minimum time between two probes of a whole domain. */
-const REPROBE_EVERY_MS = 3_000;
+const MIN_REPROBE_INTERVAL_MS = 3_000;
 
 export interface DomainSuspicion {
   /**
@@ -30,13 +30,13 @@
       if (failureDomain === ownDomain) return false;
       const now = performance.now();
       const recent = (failureTimes.get(failureDomain) ?? []).filter(
-        (at) => now - at < SILENT_WITHIN_MS,
+        (at) => now - at < FAILURE_WINDOW_MS,
       );
       recent.push(now);
       failureTimes.set(failureDomain, recent);
-      if (recent.length < SILENT_SERVERS_THRESHOLD) return false;
+      if (recent.length < FAILURE_THRESHOLD) return false;
       const last = probedAt.get(failureDomain) ?? Number.NEGATIVE_INFINITY;
-      if (now - last < REPROBE_EVERY_MS) return false;
+      if (now - last < MIN_REPROBE_INTERVAL_MS) return false;
       probedAt.set(failureDomain, now);
       return true;
     },
--- a/packages/gateway/src/backends/failure_detector.ts
+++ b/packages/gateway/src/backends/failure_detector.ts
@@ -12,8 +12,8 @@
  */
 const REFUSAL_COOLDOWN_MS = 250;
 /** Delay before the first repeated probe; doubles with each missed probe. */
-const FIRST_PROBE_DELAY_MS = 150;
-const LONGEST_PROBE_DELAY_MS = 1_200;
+const INITIAL_PROBE_DELAY_MS = 150;
+const MAX_PROBE_DELAY_MS = 1_200;
 /** Consecutive missed probes after which a server counts as dead. */
 const MISSES_UNTIL_DEAD = 2;
 /** Number of missed probes that a suspicion starts with, by reason. */
@@ -26,8 +26,8 @@
  * Time for which a server that can't be probed gets no requests; doubles with
  * each failure. The next request then shows whether the server has recovered.
  */
-const FIRST_BACKOFF_MS = 800;
-const LONGEST_BACKOFF_MS = 6_400;
+const INITIAL_BACKOFF_MS = 800;
+const MAX_BACKOFF_MS = 6_400;
 /** Time without a failure that resets a server's backoff. */
 const RESET_BACKOFF_AFTER_MS = 15_000;
 
@@ -51,7 +51,10 @@
   reportSuccess(id: string): void;
   /** Whether the server gets no new requests at present. */
   isAvoided(id: string): boolean;
-  /** Whether engines without layers may load its layers in advance. */
+  /**
+   * Whether the server has missed a probe, so that engines without layers may
+   * load its layers in advance.
+   */
   isSuspected(id: string): boolean;
   /** Whether the server counts as dead, so that others take its layers. */
   isDead(id: string): boolean;
@@ -94,7 +97,7 @@
     id: string,
     suspicion: Suspicion,
   ): Promise<void> {
-    let waitMs = FIRST_PROBE_DELAY_MS;
+    let waitMs = INITIAL_PROBE_DELAY_MS;
     while (!signal.aborted && suspicions.get(id) === suspicion) {
       await pause(waitMs, signal);
       const works = await probe(id);
@@ -117,14 +120,14 @@
           misses: suspicion.missedProbes,
         });
       }
-      waitMs = Math.min(LONGEST_PROBE_DELAY_MS, waitMs * 2);
+      waitMs = Math.min(MAX_PROBE_DELAY_MS, waitMs * 2);
     }
   }
 
   function startBackoff(suspicion: Suspicion): void {
-    const backoffMs = FIRST_BACKOFF_MS * 2 ** (suspicion.failures - 1);
+    const backoffMs = INITIAL_BACKOFF_MS * 2 ** (suspicion.failures - 1);
     suspicion.avoidedUntil =
-      performance.now() + Math.min(LONGEST_BACKOFF_MS, backoffMs);
+      performance.now() + Math.min(MAX_BACKOFF_MS, backoffMs);
   }
 
   async function startSuspicion(
--- a/packages/gateway/src/backends/timed_connector.ts
+++ b/packages/gateway/src/backends/timed_connector.ts
@@ -37,8 +37,8 @@
 
 /**
  * Changes the error code of a reset. undici treats `ECONNRESET` as the regular
- * end of an answer without a content length, so that half an answer would pass
- * for a whole one. This listener is registered before the client's own.
+ * end of an answer without a content length, so that a truncated answer would
+ * look complete. This listener is registered before the client's own.
  */
 function renameReset(error: NodeJS.ErrnoException): void {
   if (error.code === "ECONNRESET") error.code = RESET_AFTER_CONNECT;
--- a/packages/gateway/src/callers/caller_listener.ts
+++ b/packages/gateway/src/callers/caller_listener.ts
@@ -110,31 +110,34 @@
     response: ServerResponse,
   ): Promise<void> {
     const startedAt = performance.now();
-    const facts = codec.decodeRequest(request.headers);
+    const metadata = codec.decodeRequest(request.headers);
     await options.warmUp();
     const applied = keeper.applied();
     const isPastStopGrace =
       (options.stoppingForMs() ?? 0) > ACCEPT_AFTER_STOP_MS;
     const admitted = isPastStopGrace
       ? { status: 503, reason: "stopping" }
-      : admit(request, { facts, applied });
+      : admit(request, { facts: metadata, applied });
     if ("status" in admitted) {
-      return refuseRequest(request, response, { facts, refusal: admitted });
+      return refuseRequest(request, response, {
+        facts: metadata,
+        refusal: admitted,
+      });
     }
     const body = await readBody(request, applied?.limits ?? DEFAULT_LIMITS);
     if (body === "too_large") {
       const refusal = { status: 413, reason: "body_too_large" };
       response.setHeader("Connection", "close");
-      return refuseRequest(request, response, { facts, refusal });
+      return refuseRequest(request, response, { facts: metadata, refusal });
     }
     if (body === "broken") {
-      log.info("request_broken", { request: facts.requestId ?? "" });
+      log.info("request_broken", { request: metadata.requestId ?? "" });
       response.destroy();
       return;
     }
     const { route } = admitted;
     const callTimeoutMs = Math.min(
-      facts.deadlineMs ?? DEFAULT_DEADLINE_MS,
+      metadata.deadlineMs ?? DEFAULT_DEADLINE_MS,
       route.timeoutMs,
     );
     const callAbort = new AbortController();
@@ -147,8 +150,8 @@
       callAbort.abort();
     });
     const call: CallerCall = {
-      id: facts.requestId ?? crypto.randomUUID(),
-      facts,
+      id: metadata.requestId ?? crypto.randomUUID(),
+      facts: metadata,
       ...admitted,
       method: request.method ?? "GET",
       path: request.url ?? "/",
--- a/packages/gateway/src/callers/warm_up.ts
+++ b/packages/gateway/src/callers/warm_up.ts
@@ -7,7 +7,7 @@
  * time retries only a second later.
  */
 const MAX_WAIT_MS = 400;
-const POLL_EVERY_MS = 10;
+const POLL_INTERVAL_MS = 10;
 
 /** Resolves once the instance is warm or the maximum wait is over. */
 export type WarmUp = () => Promise<void>;
@@ -17,6 +17,6 @@
   const waitEndsAt = performance.now() + MAX_WAIT_MS;
   return async () => {
     while (!isWarm() && performance.now() < waitEndsAt)
-      await pause(POLL_EVERY_MS);
+      await pause(POLL_INTERVAL_MS);
   };
 }
--- a/packages/gateway/src/placement/placement_leases.ts
+++ b/packages/gateway/src/placement/placement_leases.ts
@@ -15,11 +15,11 @@
  */
 const STORE_OUTAGE_FALLBACK_MS = 500;
 /**
- * Instances that compete for one lease. Each candidate reads the lease every
- * two seconds, so a fixed number of candidates keeps the load on the store
+ * Maximum number of instances that compete for one lease. Each candidate reads
+ * the lease every two seconds, so the limit keeps the load on the store
  * independent of the number of instances.
  */
-const CANDIDATES_PER_LEASE = 2;
+const MAX_CANDIDATES_PER_LEASE = 2;
 /**
  * Shorter than the default of control leases: a domain may have a single
  * instance, and layers of its lost engines are not placed while its lease has
@@ -42,7 +42,10 @@
   release(): Promise<void>;
 }
 
-/** Creates the leases; each is requested from its first use on. */
+/**
+ * Creates the leases. Each is requested once `fencingNumberFor` is called for
+ * its domain.
+ */
 export function createPlacementLeases(options: {
   readonly store: ObjectStore;
   readonly instance: string;
@@ -59,11 +62,11 @@
   function isCandidateFor(domain: string): boolean {
     const { failureDomain, presence } = options;
     if (domain === failureDomain)
-      return presence.countLiveBefore(domain) < CANDIDATES_PER_LEASE;
+      return presence.countLiveBefore(domain) < MAX_CANDIDATES_PER_LEASE;
     const hasJustStarted =
       performance.now() - startedAt < FOREIGN_TAKEOVER_DELAY_MS;
     if (hasJustStarted || presence.hasOtherLiveIn(domain)) return false;
-    return presence.countLiveBefore(null) < CANDIDATES_PER_LEASE;
+    return presence.countLiveBefore(null) < MAX_CANDIDATES_PER_LEASE;
   }
 
   function leaseFor(domain: string): ControlLease {
--- a/packages/gateway/src/placement/placement_leases_test.ts
+++ b/packages/gateway/src/placement/placement_leases_test.ts
@@ -23,7 +23,7 @@
       peer: null,
       signal,
     });
-    const right = createPlacementLeases({
+    const leases = createPlacementLeases({
       store,
       instance,
       failureDomain,
@@ -32,8 +32,8 @@
     });
     const domains = ["a", "b", "c"];
     const orderableDomains = () =>
-      domains.filter((name) => right.fencingNumberFor(name) !== null);
-    return { presence, right, orderableDomains, faults };
+      domains.filter((name) => leases.fencingNumberFor(name) !== null);
+    return { presence, leases, orderableDomains, faults };
   };
   return [start("a-1", "a"), start("b-1", "b"), start("c-1", "c")] as const;
 }
@@ -74,7 +74,7 @@
     await settle(instances);
     const [, stopping] = instances;
     void stopping.presence.leave();
-    void stopping.right.release();
+    void stopping.leases.release();
     expect(await msUntilTakenOver(instances)).toBeLessThanOrEqual(2_500);
   });
 
--- a/packages/gateway/src/placement/placement_loop.ts
+++ b/packages/gateway/src/placement/placement_loop.ts
@@ -18,7 +18,7 @@
  * Planning interval without changes in the fleet. A lease may have been
  * acquired meanwhile, which does not wake the loop.
  */
-const REPLAN_EVERY_MS = 1_000;
+const REPLAN_INTERVAL_MS = 1_000;
 /** Delay after a change, so that changes close together share one plan. */
 const BATCHING_DELAY_MS = 30;
 /**
@@ -29,7 +29,7 @@
 const ORDER_TIMEOUT_MS = 1_000;
 const REPORT_TIMEOUT_MS = 300;
 /** Interval at which engines with a pending order are polled. */
-const ORDER_POLL_EVERY_MS = 250;
+const ORDER_POLL_INTERVAL_MS = 250;
 /** Age at which an order without effect counts as lost. */
 const ORDER_LOST_AFTER_MS = 4_000;
 
@@ -84,8 +84,9 @@
    * since the last plan began, while its orders were sent, are planned at once.
    */
   async function waitForNextPlan(planStartedAt: number): Promise<void> {
-    const everyMs = pending.size > 0 ? ORDER_POLL_EVERY_MS : REPLAN_EVERY_MS;
-    if (changedAt <= planStartedAt) await changeAlarm.wait(everyMs, signal);
+    const intervalMs =
+      pending.size > 0 ? ORDER_POLL_INTERVAL_MS : REPLAN_INTERVAL_MS;
+    if (changedAt <= planStartedAt) await changeAlarm.wait(intervalMs, signal);
     if (changedAt > planStartedAt) await pause(BATCHING_DELAY_MS, signal);
   }
 
@@ -110,7 +111,7 @@
     const allowedOrders = noneSuspected
       ? orders
       : orders.filter(({ engineId }) => fleet.get(engineId)?.held === null);
-    await Promise.all(allowedOrders.map((order) => place(order)));
+    await Promise.all(allowedOrders.map((order) => sendOrder(order)));
   }
 
   function planOrders(
@@ -152,7 +153,7 @@
     };
   }
 
-  async function place({ engineId, range }: LayerOrder): Promise<void> {
+  async function sendOrder({ engineId, range }: LayerOrder): Promise<void> {
     if (fleet.get(engineId)?.orderCount === null) await refreshReport(engineId);
     const server = fleet.get(engineId);
     if (!server || server.orderCount === null || pending.has(engineId)) return;
@@ -184,7 +185,8 @@
     });
     order.acknowledged = answer.kind === "accepted";
     if (answer.kind === "accepted" || answer.kind === "unknown") return;
-    // The engine refused the order; the next plan needs its current state.
+    // The order was refused, or had nothing to change. The next plan needs the
+    // engine's current state.
     pending.delete(engineId);
     if (answer.kind === "replaced") return fleet.markReplaced(engineId);
     await refreshReport(engineId);
--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -118,7 +118,7 @@
     end();
   });
 
-  // Guards against repeated orders, each refused with a conflict.
+  // Guards against orders that are refused with a conflict ten times a second.
   it("waits for the end of a load after an order is refused as busy", async () => {
     const { fleet, report, orders, end } = setUp();
     fleet.put({ ...ENGINE, orderCount: 3 });
--- a/packages/gateway/src/plain/forward_plain.ts
+++ b/packages/gateway/src/plain/forward_plain.ts
@@ -19,9 +19,9 @@
 import type { ServerChoice } from "./server_choice.ts";
 import { tryTimeoutMs } from "./try_timeout.ts";
 
-/** Servers that may refuse a request before the caller gets a refusal. */
+/** Refusals after which a request is still sent to another server. */
 const MAX_REFUSALS = 3;
-const SERVER_ERROR = 500;
+const MIN_SERVER_ERROR_STATUS = 500;
 
 const log = createLogger("calls");
 
@@ -69,7 +69,8 @@
     }
     possibleRuns += 1;
     const isFinal =
-      lastAttempt.kind === "answer" && lastAttempt.answer.status < SERVER_ERROR;
+      lastAttempt.kind === "answer" &&
+      lastAttempt.answer.status < MIN_SERVER_ERROR_STATUS;
     if (isFinal || !isRetryable || possibleRuns >= call.route.maxAttempts)
       break;
   }
@@ -131,7 +132,8 @@
     }
     const attempt = await readAnswer(call, result, codec);
     succeeded =
-      attempt.kind === "answer" && attempt.answer.status < SERVER_ERROR;
+      attempt.kind === "answer" &&
+      attempt.answer.status < MIN_SERVER_ERROR_STATUS;
     if (succeeded) fleet.detector.reportSuccess(server.id);
     return attempt;
   } finally {
@@ -147,19 +149,19 @@
   answer: OpenAnswer,
   codec: RequestCodec,
 ): Promise<Attempt> {
-  const facts = codec.decodeAnswer(answer.status, answer.headers);
-  if (!isOwnAnswer(call, facts)) {
+  const metadata = codec.decodeAnswer(answer.status, answer.headers);
+  if (!isOwnAnswer(call, metadata)) {
     answer.abandon();
     return { kind: "unknown", detail: "answer_of_another_request" };
   }
   const isSuccess = answer.status < 300;
-  if (isSuccess && !facts.isSigned) {
+  if (isSuccess && !metadata.isSigned) {
     answer.abandon();
     return { kind: "unknown", detail: "unsigned_answer" };
   }
   try {
     const body = await readBody(answer);
-    if (facts.notRun && !isSuccess) {
+    if (metadata.notRun && !isSuccess) {
       return { kind: "not_run", detail: `refused_${answer.status}` };
     }
     return { kind: "answer", answer, body };
--- a/packages/gateway/src/plain/server_choice.ts
+++ b/packages/gateway/src/plain/server_choice.ts
@@ -14,11 +14,11 @@
 
 export interface ServerChoice {
   /**
-   * The server with the lowest expected answer time, or `null` when the service
-   * has none but leaving and avoided ones. Servers under suspicion are chosen
-   * only if there is no other.
+   * Returns the server with the lowest expected answer time, or `null` if all
+   * servers of the service are leaving or excluded. A server under suspicion is
+   * chosen only if there is no other.
    */
-  choose(service: string, avoided: ReadonlySet<string>): BackendServer | null;
+  choose(service: string, excluded: ReadonlySet<string>): BackendServer | null;
   requestStarted(id: string): void;
   requestEnded(
     id: string,
@@ -44,10 +44,10 @@
   }
 
   return {
-    choose(service, avoided) {
+    choose(service, excluded) {
       const candidates = fleet
         .ofService(service)
-        .filter((server) => !server.leaving && !avoided.has(server.id));
+        .filter((server) => !server.leaving && !excluded.has(server.id));
       const healthy = candidates.filter((server) => fleet.isUsable(server));
       const choices = healthy.length > 0 ? healthy : candidates;
       return choices.sort((a, b) => cost(a) - cost(b))[0] ?? null;
--- a/packages/pipelines/src/group_plan.ts
+++ b/packages/pipelines/src/group_plan.ts
@@ -14,7 +14,7 @@
   type PlannedEngine,
 } from "./plan_draft.ts";
 import {
-  replicateLargestSoleRange,
+  replicateLargestUnreplicatedRange,
   replicateScarceLayers,
 } from "./range_replication.ts";
 import { rebalanceStage } from "./stage_rebalancing.ts";
@@ -33,7 +33,7 @@
   if (draft.ranges().length === 0) layOutPipelines(draft);
   fillGaps(draft, options.servedElsewhere);
   replicateScarceLayers(draft);
-  replicateLargestSoleRange(draft);
+  replicateLargestUnreplicatedRange(draft);
   if (draft.orders().length === 0) {
     for (const engine of lowestCapacityFirst(draft))
       rebalanceStage(draft, engine);
--- a/packages/pipelines/src/layer_coverage.ts
+++ b/packages/pipelines/src/layer_coverage.ts
@@ -16,7 +16,10 @@
 
 /** Lists the layer numbers of a range. */
 export function layersOf({ from, to }: LayerRange): number[] {
-  return Array.from({ length: Math.max(0, to - from) }, (_, at) => from + at);
+  return Array.from(
+    { length: Math.max(0, to - from) },
+    (_, index) => from + index,
+  );
 }
 
 /** Extends a range by `count` layers at its end, or else at its start. */
--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -40,8 +40,8 @@
   };
 }
 
-function fleet(heldRanges: Partial<Record<keyof typeof KINDS, number>>) {
-  return Object.entries(heldRanges).flatMap(([kind, count]) =>
+function fleet(counts: Partial<Record<keyof typeof KINDS, number>>) {
+  return Object.entries(counts).flatMap(([kind, count]) =>
     Array.from({ length: count }, (_, index) =>
       createEngine(`${kind}-${index}`, kind as keyof typeof KINDS),
     ),
@@ -413,10 +413,10 @@
     const layers = maxLayersWithCapacity(model, { memoryMb, tokens: 20_000 });
     expect({
       layers,
-      room: kvCapacityTokens(model, { memoryMb, layers }),
+      kvTokens: kvCapacityTokens(model, { memoryMb, layers }),
     }).toEqual({
       layers: 11,
-      room: 20_217,
+      kvTokens: 20_217,
     });
   });
 });
--- a/packages/pipelines/src/pipeline_path.ts
+++ b/packages/pipelines/src/pipeline_path.ts
@@ -124,9 +124,9 @@
 /** Searches per pipeline before branching stops, to bound the time. */
 const MAX_SEARCHES = 16;
 
-function removeCheapest(open: SearchResult[]): SearchResult | undefined {
-  open.sort((a, b) => b.found.cost - a.found.cost);
-  return open.pop();
+function removeCheapest(results: SearchResult[]): SearchResult | undefined {
+  results.sort((a, b) => b.found.cost - a.found.cost);
+  return results.pop();
 }
 
 /** Returns the first entry to an engine that the path has entered before. */
@@ -144,6 +144,7 @@
 /** A candidate with the values that a search needs at each of its layers. */
 interface StageOption {
   readonly candidate: StageCandidate;
+  /** Index of the engine's failure domain in the search table. */
   readonly domain: number;
   readonly layerMs: number;
   /** Cost of the engine's backlog per entry, in milliseconds per token. */
@@ -180,27 +181,27 @@
   const byLayer = optionsByLayer(candidates, { model, domains, end, bounds });
   const table = createSearchTable({ first, end, domainCount: domains.length });
 
-  function relaxFrom(at: number, domain: number): void {
-    const state = table.stateOf(at, domain);
+  function relaxFrom(layer: number, domain: number): void {
+    const state = table.stateOf(layer, domain);
     const cost = table.costOf(state);
     if (cost === Number.POSITIVE_INFINITY || table.hasMaxStages(state)) return;
-    for (const option of byLayer[at] ?? []) {
-      if (at < option.window.from || at >= option.window.to) continue;
+    for (const option of byLayer[layer] ?? []) {
+      if (layer < option.window.from || layer >= option.window.to) continue;
       const crosses = option.domain !== domain;
-      const isFirst = at === first;
+      const isFirst = layer === first;
       const costAfterEntry =
         cost + option.entryMs + entryCost({ crosses, isFirst });
       for (const to of option.ends) {
-        if (to <= at) continue;
-        const costAtEnd = costAfterEntry + option.layerMs * (to - at);
+        if (to <= layer) continue;
+        const costAtEnd = costAfterEntry + option.layerMs * (to - layer);
         table.relax(to, { option, cost: costAtEnd, previous: state });
       }
     }
   }
 
-  for (let at = first; at < end; at += 1) {
+  for (let layer = first; layer < end; layer += 1) {
     for (let domain = 0; domain < domains.length; domain += 1) {
-      relaxFrom(at, domain);
+      relaxFrom(layer, domain);
     }
   }
   return table.cheapest();
@@ -314,9 +315,9 @@
       ends,
       window: bounds.entries.get(id) ?? ANY_ENTRY,
     };
-    for (let at = held.from; at < held.to; at += 1) {
-      const list = byLayer[at] ?? [];
-      byLayer[at] = list;
+    for (let layer = held.from; layer < held.to; layer += 1) {
+      const list = byLayer[layer] ?? [];
+      byLayer[layer] = list;
       list.push(option);
     }
   }
@@ -344,11 +345,11 @@
   { model, failureDomain }: PathOptions,
 ): number {
   let previousDomain = failureDomain;
-  return stages.reduce((sum, { engine, range }, at) => {
+  return stages.reduce((sum, { engine, range }, index) => {
     const crosses = engine.failureDomain !== previousDomain;
     const entryMs =
       engine.backlogMs * BACKLOG_COST_SHARE +
-      entryCost({ crosses, isFirst: at === 0 });
+      entryCost({ crosses, isFirst: index === 0 });
     previousDomain = engine.failureDomain;
     return sum + entryMs + loadedLayerMs(model, engine) * layersIn(range);
   }, 0);
--- a/packages/pipelines/src/plan_draft.ts
+++ b/packages/pipelines/src/plan_draft.ts
@@ -56,10 +56,10 @@
   /** Total KV cache capacity of the engines with each layer, in tokens. */
   capacityByLayer(): number[];
   /**
-   * KV cache capacity of an engine, in tokens, with `more` layers than it
-   * retains.
+   * KV cache capacity of an engine, in tokens, if `addedLayers` are added to
+   * the layers that it retains, or removed if the number is negative.
    */
-  capacityWith(neighbour: Neighbour, more: number): number;
+  capacityWith(neighbour: Neighbour, addedLayers: number): number;
   /**
    * Whether another engine of the group serves the layer and keeps it in this
    * draft, so that the given engine can release it. A layer that is still
@@ -75,9 +75,9 @@
   model: ModelShape,
 ): PlanDraft {
   const tokens = targetCapacityTokens(group, model);
-  const holds = new Map<string, LayerRange>();
+  const heldRanges = new Map<string, LayerRange>();
   const orders = new Map<string, LayerOrder>();
-  for (const { id, held } of group) if (held) holds.set(id, held);
+  for (const { id, held } of group) if (held) heldRanges.set(id, held);
   const idle = group
     .filter(({ held, acceptsOrders }) => held === null && acceptsOrders)
     .filter((engine) => targetLayers(engine) > 0)
@@ -92,21 +92,22 @@
     model,
     tokens,
     minKvTokens: minCapacityTokens(model),
-    idleEngines: () => idle.filter(({ id }) => !holds.has(id)),
-    held: ({ id }) => holds.get(id),
-    ranges: () => [...holds.values()],
+    idleEngines: () => idle.filter(({ id }) => !heldRanges.has(id)),
+    held: ({ id }) => heldRanges.get(id),
+    ranges: () => [...heldRanges.values()],
     hasOrder: ({ id }) => orders.has(id),
     assign(engine, range) {
-      holds.set(engine.id, range);
+      heldRanges.set(engine.id, range);
       orders.set(engine.id, { engineId: engine.id, range });
     },
     orders: () => [...orders.values()],
     targetLayers,
-    holderCounts: () => countHolders([...holds.values()], model.layerCount),
+    holderCounts: () =>
+      countHolders([...heldRanges.values()], model.layerCount),
     capacityByLayer() {
       const capacities = new Array<number>(model.layerCount).fill(0);
       for (const { id, memoryMb } of group) {
-        const range = holds.get(id);
+        const range = heldRanges.get(id);
         if (!range) continue;
         const capacity = kvCapacityTokens(model, {
           memoryMb,
@@ -118,17 +119,17 @@
       }
       return capacities;
     },
-    capacityWith({ engine, retained }, more) {
+    capacityWith({ engine, retained }, addedLayers) {
       const { memoryMb } = engine;
       return kvCapacityTokens(model, {
         memoryMb,
-        layers: layersIn(retained) + more,
+        layers: layersIn(retained) + addedLayers,
       });
     },
     isServedByOthers({ id }, layer) {
       return group.some((other) => {
         const { serving } = other;
-        const planned = holds.get(other.id);
+        const planned = heldRanges.get(other.id);
         if (other.id === id || !serving || !planned) return false;
         const servesNow = serving.from <= layer && layer < serving.to;
         return servesNow && planned.from <= layer && layer < planned.to;
@@ -138,8 +139,8 @@
 }
 
 /**
- * Sorts the fastest engines first. The more layers they hold, the shorter is
- * the time per token.
+ * Orders engines by speed, the fastest first. The more layers fast engines
+ * hold, the shorter is the time per token.
  */
 export function compareSpeed(a: PlannedEngine, b: PlannedEngine): number {
   return a.stepFactor - b.stepFactor || (a.id < b.id ? -1 : 1);
--- a/packages/pipelines/src/range_replication.ts
+++ b/packages/pipelines/src/range_replication.ts
@@ -41,6 +41,7 @@
     const sum = needByLayer
       .slice(from, from + layers)
       .reduce((total, value) => total + value, 0);
+    // Ignores rounding errors, so that the first of equal runs is chosen.
     if (sum > best.need * (1 + Number.EPSILON * 16)) {
       best = { from, need: sum };
     }
@@ -54,13 +55,13 @@
  * the other idle engines can't hold the whole range, they stay empty: an empty
  * engine fills a gap sooner than one that must release layers first.
  */
-export function replicateLargestSoleRange(draft: PlanDraft): void {
+export function replicateLargestUnreplicatedRange(draft: PlanDraft): void {
   const idle = draft.idleEngines().toSorted((a, b) => a.memoryMb - b.memoryMb);
   const available = idle.slice(
     0,
     Math.max(0, idle.length - reserveCount(draft.group)),
   );
-  const range = largestSoleRange(draft);
+  const range = largestUnreplicatedRange(draft);
   if (!range) return;
   const layers = available.reduce(
     (total, engine) => total + draft.targetLayers(engine),
@@ -77,7 +78,7 @@
 }
 
 /** Returns the largest range of which no layer is replicated. */
-function largestSoleRange(draft: PlanDraft): LayerRange | undefined {
+function largestUnreplicatedRange(draft: PlanDraft): LayerRange | undefined {
   const counts = draft.holderCounts();
   return [...draft.ranges()]
     .filter((range) => layersOf(range).every((layer) => counts[layer] === 1))
--- a/packages/pipelines/src/stage_rebalancing.ts
+++ b/packages/pipelines/src/stage_rebalancing.ts
@@ -3,7 +3,7 @@
 import type { Neighbour, PlanDraft, PlannedEngine } from "./plan_draft.ts";
 import { type LayerRange, layersIn } from "./types.ts";
 
-/** Share of the target capacity below which a stage or layer is short of it. */
+/** Share of the target below which the capacity of a stage or layer is low. */
 export const LOW_CAPACITY_SHARE = 0.5;
 /**
  * A neighbour takes over a layer only if its capacity afterwards is more than
@@ -32,9 +32,13 @@
     const isBefore = held.from < range.from && held.to === range.from;
     const isAfter = held.to > range.to && held.from === range.to;
     if (!isBefore && !isAfter) return [];
-    const helper = { engine: other, retained: held };
+    const neighbour = { engine: other, retained: held };
     return [
-      { help: helper, isBefore, capacityAfter: draft.capacityWith(helper, 1) },
+      {
+        help: neighbour,
+        isBefore,
+        capacityAfter: draft.capacityWith(neighbour, 1),
+      },
     ];
   });
   const chosen = neighbours.sort(
@@ -57,12 +61,12 @@
 function layersToTransfer(
   draft: PlanDraft,
   bottleneck: Neighbour,
-  helper: Neighbour,
+  receiver: Neighbour,
 ): number {
   let layerCount = 0;
   while (
     layersIn(bottleneck.retained) - layerCount > 1 &&
-    draft.capacityWith(helper, layerCount + 1) >
+    draft.capacityWith(receiver, layerCount + 1) >
       draft.capacityWith(bottleneck, -layerCount) * MIN_CAPACITY_RATIO
   ) {
     layerCount += 1;
