--- a/packages/gateway/src/backends/backend_fleet.ts
+++ b/packages/gateway/src/backends/backend_fleet.ts
@@ -56,7 +56,7 @@
    * Handles the refusal of a request by an engine: avoids it for a moment and
    * reads its report.
    */
-  recheck(id: string): void;
+  handleRefusal(id: string): void;
   /** Registers a callback for added, changed, suspected and removed servers. */
   onChanged(callback: (id: string) => void): void;
 }
@@ -195,7 +195,7 @@
       this.remove(id);
     },
     putReport,
-    recheck(id) {
+    handleRefusal(id) {
       detector.reportRefusal(id);
       void probe(id).then((works) => {
         if (works === false) detector.reportFailure(id, "silent");
--- a/packages/gateway/src/callers/caller_answer.ts
+++ b/packages/gateway/src/callers/caller_answer.ts
@@ -88,7 +88,7 @@
   refuse(codec, call.response, {
     status,
     reason,
-    requestId: call.facts.requestId,
+    requestId: call.metadata.requestId,
     ...(options.retryAfterSeconds === undefined
       ? {}
       : { retryAfterSeconds: options.retryAfterSeconds }),
--- a/packages/gateway/src/callers/caller_call.ts
+++ b/packages/gateway/src/callers/caller_call.ts
@@ -7,7 +7,7 @@
 export interface CallerCall {
   /** The caller's request id, or a generated one. */
   readonly id: string;
-  readonly facts: RequestMetadata;
+  readonly metadata: RequestMetadata;
   readonly route: Route;
   readonly service: Service;
   readonly organisation: Organisation | null;
--- a/packages/gateway/src/callers/caller_listener.ts
+++ b/packages/gateway/src/callers/caller_listener.ts
@@ -117,10 +117,10 @@
       (options.stoppingForMs() ?? 0) > ACCEPT_AFTER_STOP_MS;
     const admitted = isPastStopGrace
       ? { status: 503, reason: "stopping" }
-      : admit(request, { facts: metadata, applied });
+      : admit(request, { metadata, applied });
     if ("status" in admitted) {
       return refuseRequest(request, response, {
-        facts: metadata,
+        metadata,
         refusal: admitted,
       });
     }
@@ -128,7 +128,7 @@
     if (body === "too_large") {
       const refusal = { status: 413, reason: "body_too_large" };
       response.setHeader("Connection", "close");
-      return refuseRequest(request, response, { facts: metadata, refusal });
+      return refuseRequest(request, response, { metadata, refusal });
     }
     if (body === "broken") {
       log.info("request_broken", { request: metadata.requestId ?? "" });
@@ -151,7 +151,7 @@
     });
     const call: CallerCall = {
       id: metadata.requestId ?? crypto.randomUUID(),
-      facts: metadata,
+      metadata,
       ...admitted,
       method: request.method ?? "GET",
       path: request.url ?? "/",
@@ -175,12 +175,12 @@
   function refuseRequest(
     request: IncomingMessage,
     response: ServerResponse,
-    options: { readonly facts: RequestMetadata; readonly refusal: Refusal },
+    options: { readonly metadata: RequestMetadata; readonly refusal: Refusal },
   ): void {
-    const { facts, refusal } = options;
+    const { metadata, refusal } = options;
     const { status, reason } = refusal;
     log.info("request_refused", {
-      request: facts.requestId ?? "",
+      request: metadata.requestId ?? "",
       status,
       reason,
       host: request.headers.host,
@@ -188,7 +188,7 @@
       version: keeper.applied()?.version ?? 0,
     });
     request.resume();
-    refuse(codec, response, { status, reason, requestId: facts.requestId });
+    refuse(codec, response, { status, reason, requestId: metadata.requestId });
   }
 
   return { server, inProgress: () => inProgress };
@@ -198,11 +198,11 @@
 function admit(
   request: IncomingMessage,
   options: {
-    readonly facts: RequestMetadata;
+    readonly metadata: RequestMetadata;
     readonly applied: AppliedConfiguration | null;
   },
 ): Admission | Refusal {
-  const { facts, applied } = options;
+  const { metadata, applied } = options;
   if (!applied) return { status: 503, reason: "no_configuration" };
   if (headerBytes(request.rawHeaders) > applied.limits.headerBytes) {
     return { status: 431, reason: "headers_too_large" };
@@ -212,7 +212,7 @@
     pathOf(request.url ?? "/"),
   );
   if (!route) return { status: 404, reason: "no_route" };
-  const organisation = organisationOf(applied, facts);
+  const organisation = organisationOf(applied, metadata);
   if (!organisation && applied.organisations && !route.isPublic) {
     return { status: 401, reason: "unknown_key" };
   }
--- a/packages/gateway/src/configuration.ts
+++ b/packages/gateway/src/configuration.ts
@@ -46,7 +46,7 @@
   /** Time of a decoding step, relative to an engine with factor 1. */
   readonly stepFactor: number;
   /** Time to read a prompt, relative to an engine with factor 1. */
-  readonly readFactor: number;
+  readonly prefillFactor: number;
 }
 
 /** Model of a service and the kinds of engines that run it. */
--- a/packages/gateway/src/forwarding/backend_request.ts
+++ b/packages/gateway/src/forwarding/backend_request.ts
@@ -31,10 +31,12 @@
  * connection may first deliver a late answer of another request.
  */
 export function isOwnAnswer(
-  { facts }: CallerCall,
+  { metadata }: CallerCall,
   { requestId, hasPlainBody }: AnswerMetadata,
 ): boolean {
-  return hasPlainBody && (requestId === null || requestId === facts.requestId);
+  return (
+    hasPlainBody && (requestId === null || requestId === metadata.requestId)
+  );
 }
 
 /** Reads the whole body; throws when it ends early. */
--- a/packages/gateway/src/operators/administration.ts
+++ b/packages/gateway/src/operators/administration.ts
@@ -115,21 +115,21 @@
       const routes = applied.routes
         .filter(({ shares }) => shares.some(({ service }) => service === name))
         .map(({ host, pathPrefix }) => `${host}${pathPrefix}`);
-      const message = `${routes.length} routes lead to it: ${routes.join(", ")}`;
+      const message = `routes (${routes.length}): ${routes.join(", ")}`;
       return { number, subject, verdict: "answered", ...decision, message };
     }
     const isWithdrawn = latestLine?.line.startsWith("withdrawn") === true;
     const verdict = isWithdrawn ? "withdrawn" : "unknown";
     const message = isWithdrawn
-      ? "a later configuration left it out"
-      : "no configuration that is remembered here names it";
+      ? "a later configuration removed it"
+      : "no configuration in this instance's history contains it";
     return { number, subject, verdict, ...decision, message };
   }
 
   function showNote(number: number): AdministrationAnswer {
     const note = history.find(number);
     if (note) return { status: 200, body: note };
-    return errorAnswer(404, `note ${number} is not remembered here`);
+    return errorAnswer(404, `note ${number} is not in this instance's history`);
   }
 
   return function answer({ pathname, searchParams }) {
@@ -140,7 +140,10 @@
     if (pathname === "/v1/explain") {
       const name = searchParams.get("service");
       if (name) return { status: 200, body: explainService(name) };
-      return errorAnswer(400, "name a service: explain SERVICE --service");
+      return errorAnswer(
+        400,
+        "no service given; usage: explain SERVICE --service",
+      );
     }
     const number = /^\/v1\/notes\/(\d{1,15})$/.exec(pathname)?.[1];
     return number === undefined ? null : showNote(Number(number));
--- a/packages/gateway/src/placement/placement_loop.ts
+++ b/packages/gateway/src/placement/placement_loop.ts
@@ -136,7 +136,7 @@
     kind: {
       readonly memoryMb: number;
       readonly stepFactor: number;
-      readonly readFactor: number;
+      readonly prefillFactor: number;
     },
   ): PlannedEngine {
     const order = pending.get(server.id);
@@ -145,7 +145,7 @@
       failureDomain: server.failureDomain,
       memoryMb: kind.memoryMb,
       stepFactor: kind.stepFactor,
-      readFactor: kind.readFactor,
+      prefillFactor: kind.prefillFactor,
       held: order?.range ?? server.held,
       serving: server.held,
       acceptsOrders:
--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -26,8 +26,8 @@
     maxConcurrentAnswers: 4,
   },
   kinds: new Map([
-    ["card", { name: "card", memoryMb: 900, stepFactor: 1, readFactor: 1 }],
-    ["half", { name: "half", memoryMb: 450, stepFactor: 1, readFactor: 1 }],
+    ["card", { name: "card", memoryMb: 900, stepFactor: 1, prefillFactor: 1 }],
+    ["half", { name: "half", memoryMb: 450, stepFactor: 1, prefillFactor: 1 }],
   ]),
 };
 
--- a/packages/gateway/src/streams/forward_stream.ts
+++ b/packages/gateway/src/streams/forward_stream.ts
@@ -51,7 +51,7 @@
   const { budget, router } = parts;
   const progress: StreamProgress = {
     hasBegun: false,
-    lastEventId: call.facts.lastEventId,
+    lastEventId: call.metadata.lastEventId,
     pace: createStreamPace(call.startedAt),
   };
   const avoided = new Set<string>();
@@ -105,12 +105,12 @@
 }
 
 /** Estimates the tokens of a call's prompt and answer. */
-function estimateSize({ facts, service }: CallerCall): AnswerSize {
+function estimateSize({ metadata, service }: CallerCall): AnswerSize {
   const model = service.engine?.model;
   const usual = model?.meanAnswerTokens ?? 0;
-  const promptTokens = facts.promptTokens ?? model?.meanPromptTokens ?? 0;
-  const expected = facts.expectedAnswerTokens ?? usual;
-  const answerTokens = Math.min(facts.maxAnswerTokens ?? expected, expected);
+  const promptTokens = metadata.promptTokens ?? model?.meanPromptTokens ?? 0;
+  const expected = metadata.expectedAnswerTokens ?? usual;
+  const answerTokens = Math.min(metadata.maxAnswerTokens ?? expected, expected);
   return { promptTokens, answerTokens };
 }
 
--- a/packages/gateway/src/streams/pipeline_router.ts
+++ b/packages/gateway/src/streams/pipeline_router.ts
@@ -97,7 +97,7 @@
       const { id, held, failureDomain } = server;
       if (!kind || !held || avoided.has(id)) return [];
       if (!fleet.isUsable(server)) return [];
-      const { memoryMb, stepFactor, readFactor } = kind;
+      const { memoryMb, stepFactor, prefillFactor } = kind;
       const { model } = engine;
       const layers = layersIn(held);
       const room = kvCapacityTokens(model, { memoryMb, layers }) * layers;
@@ -116,10 +116,13 @@
           failureDomain,
           memoryMb,
           stepFactor,
-          readFactor,
+          prefillFactor,
           held,
           load: Math.max(load.held / Math.max(1, room), reportedLoad),
-          backlogMs: prefillMs(model, { readFactor, tokenLayers: load.unread }),
+          backlogMs: prefillMs(model, {
+            prefillFactor,
+            tokenLayers: load.unread,
+          }),
         },
       ];
     });
--- a/packages/gateway/src/streams/stream_run.ts
+++ b/packages/gateway/src/streams/stream_run.ts
@@ -169,7 +169,7 @@
     parts.fleet.markReplaced(faultyServer.id);
   } else if (faultyServer) {
     run.avoided.add(faultyServer.id);
-    parts.fleet.recheck(faultyServer.id);
+    parts.fleet.handleRefusal(faultyServer.id);
   }
   return { kind: "not_run", detail: `refused_${answer.status}` };
 }
--- a/packages/pipelines/src/layer_layout_test.ts
+++ b/packages/pipelines/src/layer_layout_test.ts
@@ -17,9 +17,9 @@
 };
 
 const KINDS = {
-  large: { memoryMb: 72_000, stepFactor: 2.4, readFactor: 3.2 },
-  fast: { memoryMb: 14_400, stepFactor: 5.3, readFactor: 7.9 },
-  slow: { memoryMb: 21_600, stepFactor: 16, readFactor: 8.2 },
+  large: { memoryMb: 72_000, stepFactor: 2.4, prefillFactor: 3.2 },
+  fast: { memoryMb: 14_400, stepFactor: 5.3, prefillFactor: 7.9 },
+  slow: { memoryMb: 21_600, stepFactor: 16, prefillFactor: 8.2 },
 } as const;
 
 function fleet(counts: Partial<Record<keyof typeof KINDS, number>>) {
@@ -74,9 +74,9 @@
   it("is at most one stage slower per token than the fastest layout", () => {
     const small: ModelShape = { ...model, layerCount: 8 };
     const kinds = fc.constantFrom(
-      { memoryMb: 9_000, stepFactor: 1, readFactor: 1 },
-      { memoryMb: 5_000, stepFactor: 2, readFactor: 2 },
-      { memoryMb: 13_000, stepFactor: 5, readFactor: 2 },
+      { memoryMb: 9_000, stepFactor: 1, prefillFactor: 1 },
+      { memoryMb: 5_000, stepFactor: 2, prefillFactor: 2 },
+      { memoryMb: 13_000, stepFactor: 5, prefillFactor: 2 },
     );
     const property = fc.property(
       fc.array(kinds, { minLength: 2, maxLength: 5 }),
--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -18,10 +18,10 @@
 };
 
 const KINDS = {
-  large: { memoryMb: 72_000, stepFactor: 1.4, readFactor: 1 },
-  medium: { memoryMb: 36_000, stepFactor: 3.1, readFactor: 3.2 },
-  small: { memoryMb: 21_600, stepFactor: 16, readFactor: 8.2 },
-  tiny: { memoryMb: 14_400, stepFactor: 15, readFactor: 15 },
+  large: { memoryMb: 72_000, stepFactor: 1.4, prefillFactor: 1 },
+  medium: { memoryMb: 36_000, stepFactor: 3.1, prefillFactor: 3.2 },
+  small: { memoryMb: 21_600, stepFactor: 16, prefillFactor: 8.2 },
+  tiny: { memoryMb: 14_400, stepFactor: 15, prefillFactor: 15 },
 } as const;
 
 function createEngine(
--- a/packages/pipelines/src/layer_planner_test.ts
+++ b/packages/pipelines/src/layer_planner_test.ts
@@ -22,7 +22,7 @@
     failureDomain: "a",
     memoryMb: 6_000,
     stepFactor: 1,
-    readFactor: 1,
+    prefillFactor: 1,
     held: null,
     serving: null,
     acceptsOrders: true,
--- a/packages/pipelines/src/pipeline_path_test.ts
+++ b/packages/pipelines/src/pipeline_path_test.ts
@@ -30,7 +30,7 @@
     failureDomain: "a",
     memoryMb: 1_000,
     stepFactor: 1,
-    readFactor: 1,
+    prefillFactor: 1,
     held: { from: range[0], to: range[1] },
     load: 0,
     backlogMs: 0,
--- a/packages/pipelines/src/plan_draft.ts
+++ b/packages/pipelines/src/plan_draft.ts
@@ -35,7 +35,7 @@
   readonly group: readonly PlannedEngine[];
   readonly model: ModelShape;
   /** Target KV cache capacity of an engine, in tokens. */
-  readonly tokens: number;
+  readonly targetKvTokens: number;
   /** Minimum KV cache capacity of an engine, in tokens. */
   readonly minKvTokens: number;
   /** Engines without layers that accept orders, the fastest first. */
@@ -74,7 +74,7 @@
   group: readonly PlannedEngine[],
   model: ModelShape,
 ): PlanDraft {
-  const tokens = targetCapacityTokens(group, model);
+  const targetKvTokens = targetCapacityTokens(group, model);
   const heldRanges = new Map<string, LayerRange>();
   const orders = new Map<string, LayerOrder>();
   for (const { id, held } of group) if (held) heldRanges.set(id, held);
@@ -84,13 +84,13 @@
     .sort(compareSpeed);
 
   function targetLayers({ memoryMb }: PlannedEngine): number {
-    return maxLayersWithCapacity(model, { memoryMb, tokens });
+    return maxLayersWithCapacity(model, { memoryMb, tokens: targetKvTokens });
   }
 
   return {
     group,
     model,
-    tokens,
+    targetKvTokens,
     minKvTokens: minCapacityTokens(model),
     idleEngines: () => idle.filter(({ id }) => !heldRanges.has(id)),
     held: ({ id }) => heldRanges.get(id),
--- a/packages/pipelines/src/range_replication.ts
+++ b/packages/pipelines/src/range_replication.ts
@@ -23,7 +23,7 @@
 function hasScarceLayers(draft: PlanDraft): boolean {
   return draft
     .capacityByLayer()
-    .some((capacity) => capacity < draft.tokens * LOW_CAPACITY_SHARE);
+    .some((capacity) => capacity < draft.targetKvTokens * LOW_CAPACITY_SHARE);
 }
 
 /** Replicates on an engine the run of layers that needs capacity most. */
--- a/packages/pipelines/src/stage_rebalancing.ts
+++ b/packages/pipelines/src/stage_rebalancing.ts
@@ -22,7 +22,7 @@
   const range = draft.held(engine);
   if (!range || !engine.acceptsOrders || draft.hasOrder(engine)) return;
   const capacity = draft.capacityWith({ engine, retained: range }, 0);
-  if (capacity >= draft.tokens * LOW_CAPACITY_SHARE) return;
+  if (capacity >= draft.targetKvTokens * LOW_CAPACITY_SHARE) return;
   const trimmedRange = withoutRedundantEdges(draft, engine, range);
   if (layersIn(trimmedRange) < layersIn(range))
     return draft.assign(engine, trimmedRange);
@@ -35,7 +35,7 @@
     const neighbour = { engine: other, retained: held };
     return [
       {
-        help: neighbour,
+        neighbour,
         isBefore,
         capacityAfter: draft.capacityWith(neighbour, 1),
       },
@@ -48,12 +48,12 @@
   const layerCount = layersToTransfer(
     draft,
     { engine, retained: range },
-    chosen.help,
+    chosen.neighbour,
   );
   if (layerCount > 0)
     draft.assign(
-      chosen.help.engine,
-      extendRange(chosen.help.retained, layerCount, chosen.isBefore),
+      chosen.neighbour.engine,
+      extendRange(chosen.neighbour.retained, layerCount, chosen.isBefore),
     );
 }
 
--- a/packages/pipelines/src/stage_time.ts
+++ b/packages/pipelines/src/stage_time.ts
@@ -21,8 +21,8 @@
  */
 export function prefillMs(
   { prefillTokensPerMs, layerCount }: ModelShape,
-  prompts: { readonly readFactor: number; readonly tokenLayers: number },
+  prompts: { readonly prefillFactor: number; readonly tokenLayers: number },
 ): number {
-  const { readFactor, tokenLayers } = prompts;
-  return (tokenLayers * readFactor) / (prefillTokensPerMs * layerCount);
+  const { prefillFactor, tokenLayers } = prompts;
+  return (tokenLayers * prefillFactor) / (prefillTokensPerMs * layerCount);
 }
--- a/packages/pipelines/src/types.ts
+++ b/packages/pipelines/src/types.ts
@@ -34,7 +34,7 @@
   /** Duration of a decode step relative to an engine with factor 1. */
   readonly stepFactor: number;
   /** Duration of prefill relative to an engine with factor 1. */
-  readonly readFactor: number;
+  readonly prefillFactor: number;
   /**
    * Layers in the engine's memory, or those of the last order to it; `null` if
    * there are none.
