--- a/packages/pipelines/src/plan_draft.ts
+++ b/packages/pipelines/src/plan_draft.ts
@@ -139,8 +139,8 @@
 }
 
 /**
- * Orders engines by speed, the fastest first. The more layers fast engines
- * hold, the shorter is the time per token.
+ * Compares engines so that the fastest sorts first. The more layers fast
+ * engines hold, the shorter is the time per token.
  */
 export function compareSpeed(a: PlannedEngine, b: PlannedEngine): number {
   return a.stepFactor - b.stepFactor || (a.id < b.id ? -1 : 1);
