--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -105,10 +105,10 @@
     );
     const placed = apply(engines);
     for (const domain of ["a", "b"]) {
-      const own = placed.filter(
+      const domainEngines = placed.filter(
         ({ failureDomain }) => failureDomain === domain,
       );
-      expect(uncovered(own)).toEqual([]);
+      expect(uncovered(domainEngines)).toEqual([]);
     }
   });
 
@@ -213,8 +213,8 @@
       held: first.held,
       acceptsOrders: false,
     });
-    const gap = others.slice(0, -1);
-    const orders = planLayers([first, joining, ...gap], model);
+    const remaining = others.slice(0, -1);
+    const orders = planLayers([first, joining, ...remaining], model);
     const moved = orders.find(({ engineId }) => engineId === first.id);
     const from = moved?.range.from ?? first.held.from;
     const to = moved?.range.to ?? first.held.to;
@@ -249,8 +249,8 @@
 
   it("keeps idle engines empty if they can't replicate a whole range", () => {
     const placed = apply(fleet({ large: 1, medium: 1, small: 5, tiny: 7 }));
-    const counts = placed.map(({ held }) => held).filter(Boolean);
-    const layers = counts.reduce(
+    const heldRanges = placed.map(({ held }) => held).filter(Boolean);
+    const layers = heldRanges.reduce(
       (sum, held) => sum + (held ? held.to - held.from : 0),
       0,
     );
