--- a/packages/gateway/src/placement/placement_loop_test.ts
+++ b/packages/gateway/src/placement/placement_loop_test.ts
@@ -26,8 +26,8 @@
     maxConcurrentAnswers: 4,
   },
   kinds: new Map([
-    ["card", { name: "card", memoryMb: 900, stepFactor: 1, readFactor: 1 }],
-    ["half", { name: "half", memoryMb: 450, stepFactor: 1, readFactor: 1 }],
+    ["card", { name: "card", memoryMb: 900, stepFactor: 1, prefillFactor: 1 }],
+    ["half", { name: "half", memoryMb: 450, stepFactor: 1, prefillFactor: 1 }],
   ]),
 };
 
@@ -118,7 +118,7 @@
     end();
   });
 
-  // Guards against repeated orders, each refused with a conflict.
+  // Guards against orders that are refused with a conflict ten times a second.
   it("waits for the end of a load after an order is refused as busy", async () => {
     const { fleet, report, orders, end } = setUp();
     fleet.put({ ...ENGINE, orderCount: 3 });
--- a/packages/pipelines/src/layer_plan_test.ts
+++ b/packages/pipelines/src/layer_plan_test.ts
@@ -18,10 +18,10 @@
 };
 
 const KINDS = {
-  large: { memoryMb: 72_000, stepFactor: 1.4, readFactor: 1 },
-  medium: { memoryMb: 36_000, stepFactor: 3.1, readFactor: 3.2 },
-  small: { memoryMb: 21_600, stepFactor: 16, readFactor: 8.2 },
-  tiny: { memoryMb: 14_400, stepFactor: 15, readFactor: 15 },
+  large: { memoryMb: 72_000, stepFactor: 1.4, prefillFactor: 1 },
+  medium: { memoryMb: 36_000, stepFactor: 3.1, prefillFactor: 3.2 },
+  small: { memoryMb: 21_600, stepFactor: 16, prefillFactor: 8.2 },
+  tiny: { memoryMb: 14_400, stepFactor: 15, prefillFactor: 15 },
 } as const;
 
 function createEngine(
@@ -40,8 +40,8 @@
   };
 }
 
-function fleet(heldRanges: Partial<Record<keyof typeof KINDS, number>>) {
-  return Object.entries(heldRanges).flatMap(([kind, count]) =>
+function fleet(counts: Partial<Record<keyof typeof KINDS, number>>) {
+  return Object.entries(counts).flatMap(([kind, count]) =>
     Array.from({ length: count }, (_, index) =>
       createEngine(`${kind}-${index}`, kind as keyof typeof KINDS),
     ),
@@ -105,10 +105,10 @@
     );
     const placed = apply(engines);
     for (const domain of ["a", "b"]) {
-      const own = placed.filter(
+      const domainEngines = placed.filter(
         ({ failureDomain }) => failureDomain === domain,
       );
-      expect(uncovered(own)).toEqual([]);
+      expect(uncovered(domainEngines)).toEqual([]);
     }
   });
 
@@ -213,8 +213,8 @@
       held: first.held,
       acceptsOrders: false,
     });
-    const gap = others.slice(0, -1);
-    const orders = planLayers([first, joining, ...gap], model);
+    const remaining = others.slice(0, -1);
+    const orders = planLayers([first, joining, ...remaining], model);
     const moved = orders.find(({ engineId }) => engineId === first.id);
     const from = moved?.range.from ?? first.held.from;
     const to = moved?.range.to ?? first.held.to;
@@ -249,8 +249,8 @@
 
   it("keeps idle engines empty if they can't replicate a whole range", () => {
     const placed = apply(fleet({ large: 1, medium: 1, small: 5, tiny: 7 }));
-    const counts = placed.map(({ held }) => held).filter(Boolean);
-    const layers = counts.reduce(
+    const heldRanges = placed.map(({ held }) => held).filter(Boolean);
+    const layers = heldRanges.reduce(
       (sum, held) => sum + (held ? held.to - held.from : 0),
       0,
     );
@@ -413,10 +413,10 @@
     const layers = maxLayersWithCapacity(model, { memoryMb, tokens: 20_000 });
     expect({
       layers,
-      room: kvCapacityTokens(model, { memoryMb, layers }),
+      kvTokens: kvCapacityTokens(model, { memoryMb, layers }),
     }).toEqual({
       layers: 11,
-      room: 20_217,
+      kvTokens: 20_217,
     });
   });
 });
--- a/packages/pipelines/src/stage_rebalancing.ts
+++ b/packages/pipelines/src/stage_rebalancing.ts
@@ -3,7 +3,7 @@
 import type { Neighbour, PlanDraft, PlannedEngine } from "./plan_draft.ts";
 import { type LayerRange, layersIn } from "./types.ts";
 
-/** Share of the target capacity below which a stage or layer is short of it. */
+/** Share of the target below which the capacity of a stage or layer is low. */
 export const LOW_CAPACITY_SHARE = 0.5;
 /**
  * A neighbour takes over a layer only if its capacity afterwards is more than
@@ -22,7 +22,7 @@
   const range = draft.held(engine);
   if (!range || !engine.acceptsOrders || draft.hasOrder(engine)) return;
   const capacity = draft.capacityWith({ engine, retained: range }, 0);
-  if (capacity >= draft.tokens * LOW_CAPACITY_SHARE) return;
+  if (capacity >= draft.targetKvTokens * LOW_CAPACITY_SHARE) return;
   const trimmedRange = withoutRedundantEdges(draft, engine, range);
   if (layersIn(trimmedRange) < layersIn(range))
     return draft.assign(engine, trimmedRange);
@@ -32,9 +32,13 @@
     const isBefore = held.from < range.from && held.to === range.from;
     const isAfter = held.to > range.to && held.from === range.to;
     if (!isBefore && !isAfter) return [];
-    const helper = { engine: other, retained: held };
+    const neighbour = { engine: other, retained: held };
     return [
-      { help: helper, isBefore, capacityAfter: draft.capacityWith(helper, 1) },
+      {
+        neighbour,
+        isBefore,
+        capacityAfter: draft.capacityWith(neighbour, 1),
+      },
     ];
   });
   const chosen = neighbours.sort(
@@ -44,12 +48,12 @@
   const layerCount = layersToTransfer(
     draft,
     { engine, retained: range },
-    chosen.help,
+    chosen.neighbour,
   );
   if (layerCount > 0)
     draft.assign(
-      chosen.help.engine,
-      extendRange(chosen.help.retained, layerCount, chosen.isBefore),
+      chosen.neighbour.engine,
+      extendRange(chosen.neighbour.retained, layerCount, chosen.isBefore),
     );
 }
 
@@ -57,12 +61,12 @@
 function layersToTransfer(
   draft: PlanDraft,
   bottleneck: Neighbour,
-  helper: Neighbour,
+  receiver: Neighbour,
 ): number {
   let layerCount = 0;
   while (
     layersIn(bottleneck.retained) - layerCount > 1 &&
-    draft.capacityWith(helper, layerCount + 1) >
+    draft.capacityWith(receiver, layerCount + 1) >
       draft.capacityWith(bottleneck, -layerCount) * MIN_CAPACITY_RATIO
   ) {
     layerCount += 1;
