--- a/packages/placement/src/control_lease.ts
+++ b/packages/placement/src/control_lease.ts
@@ -147,9 +147,9 @@
   }
 
   /**
-   * Whether a previous process of this instance holds the lease. After a
-   * restart that process cannot order any more, so the lease is acquired at
-   * once; until it lapsed, lost layers would stay unplaced for 6 s.
+   * Whether a previous process of this instance holds the lease. That process
+   * has ended and sends no more orders, so the lease is acquired at once.
+   * Waiting until it lapses would leave lost layers unplaced for 6 s.
    */
   function isEarlierIncarnation(lease: LeaseObject): boolean {
     const { holder, incarnation } = options;
@@ -200,7 +200,8 @@
     const { fencingNumber } = lease;
     const since = base.since ?? readMoment();
     const version = written.value;
-    // Timed from before the write; other instances time it from their read.
+    // The holder times the lease from before its write and other instances
+    // from their read, which is later, so the holder's lease ends first.
     heldLease = { fencingNumber, since, renewedAt, version, lease };
     if (isNewlyAcquired) {
       log.info("lease_held", {
@@ -247,7 +248,8 @@
   if (object === null) return null;
   const parsed = leaseObjectSchema.safeParse(object.value);
   if (parsed.success) return parsed.data;
-  // Restarting at 1 would make engines that check fencing refuse every order.
+  // If fencing numbers restarted at 1, engines that check them would refuse
+  // every order.
   log.warn("bad_lease", { key: object.key, reason: parsed.error.message });
   return "unreadable";
 }
--- a/packages/placement/src/control_lease_test.ts
+++ b/packages/placement/src/control_lease_test.ts
@@ -129,7 +129,7 @@
       .map(({ id }) => id)
       .filter((id) => isLeaseCandidate(members, { id, failureDomain }));
 
-  it("are limited in number, and foreign if a domain has none", () => {
+  it("are few, and from other domains if a domain has no live instance", () => {
     const many = ["1", "2", "3", "4", "5"].map((id) => member(id, "a"));
     const dead = member("0", "a", false);
     expect(candidates([dead, ...many], "a")).toEqual(["1", "2", "3"]);
--- a/packages/placement/src/engine_assignment.ts
+++ b/packages/placement/src/engine_assignment.ts
@@ -17,9 +17,9 @@
 }
 
 /**
- * Replaces kinds by engines. A group reuses the engines of a held pipeline
- * whose kinds it contains. The other kinds are filled with engines that hold
- * layers of the model, or else with any engines.
+ * Chooses engines of the listed kinds for each group. A group reuses the
+ * engines of a held pipeline if it lists the kinds of all of them. For its
+ * other kinds it gets engines that hold layers of the model, or else any.
  */
 export function assignEngines(
   groups: readonly KindGroup[],
--- a/packages/placement/src/engine_controller.ts
+++ b/packages/placement/src/engine_controller.ts
@@ -23,9 +23,10 @@
 const READ_BACK_INTERVAL_MS = 500;
 /** With more engines, unchanged ones are read back at growing intervals. */
 const MAX_ENGINES_WITHOUT_BACKOFF = 16;
+/** Bandwidth for reading back all engines of a domain while none changes. */
 const READ_BACK_BUDGET_BYTES_PER_SECOND = 250;
-/** Delay of the first retry; doubles up to `READ_BACK_INTERVAL_MS`. */
-const INITIAL_RETRY_MS = 25;
+/** Doubled before each retry, the first included, up to the read interval. */
+const RETRY_BASE_MS = 25;
 
 const log = createLogger("placement");
 
@@ -81,14 +82,14 @@
 
   async function reconcileLoop(engine: EngineSettings): Promise<void> {
     const wakeSignal = wakeSignals.get(engine.id) ?? createWakeSignal();
-    let retryMs = INITIAL_RETRY_MS;
+    let retryMs = RETRY_BASE_MS;
     let readBackMs = READ_BACK_INTERVAL_MS;
     while (!stopped) {
       const wakesBefore = wakeSignal.count();
       const previous = confirmed.get(engine.id);
       const outcome = await reconcile(engine);
       if (stopped) return;
-      retryMs = outcome === "retry" ? retryMs * 2 : INITIAL_RETRY_MS;
+      retryMs = outcome === "retry" ? retryMs * 2 : RETRY_BASE_MS;
       // The interval doubles while the engine stays in its wanted state. A
       // delayed order of an earlier holder may still reach an engine that
       // ignores fencing numbers, most likely soon after a change, so each
@@ -251,9 +252,9 @@
   };
 }
 
-/** Longest interval for reading one of `engines` engines back. */
-function maxReadBackIntervalMs(engines: number): number {
-  if (engines <= MAX_ENGINES_WITHOUT_BACKOFF) return READ_BACK_INTERVAL_MS;
+/** Maximum interval for reading an engine back, by the size of its domain. */
+function maxReadBackIntervalMs(engineCount: number): number {
+  if (engineCount <= MAX_ENGINES_WITHOUT_BACKOFF) return READ_BACK_INTERVAL_MS;
   const bytesPerSecond = READ_BACK_BUDGET_BYTES_PER_SECOND;
-  return readIntervalMs(engines, { bytesPerSecond });
+  return readIntervalMs(engineCount, { bytesPerSecond });
 }
--- a/packages/placement/src/engine_kinds.ts
+++ b/packages/placement/src/engine_kinds.ts
@@ -77,7 +77,10 @@
     return created;
   }
 
-  function timeOf(model: PlanModel, group: readonly number[]): number {
+  function computeSlowestMs(
+    model: PlanModel,
+    group: readonly number[],
+  ): number {
     const all = splitEnginesOf(model);
     const engines = group.flatMap((kind) => all[kind] ?? []);
     return slowestStageMs(engines, model.layers);
@@ -94,7 +97,7 @@
         node.next[kind] = next;
         node = next;
       }
-      node.timeMs ??= timeOf(model, group);
+      node.timeMs ??= computeSlowestMs(model, group);
       return node.timeMs;
     },
     memoryCoverage(model, group) {
--- a/packages/placement/src/engine_loads.ts
+++ b/packages/placement/src/engine_loads.ts
@@ -17,7 +17,7 @@
   update(engine: string, missing: readonly MissingWeights[]): void;
   /** Whether the layers are loaded, but the engine does not report them yet. */
   isLoaded(engine: string, wanted: HeldLayers): boolean;
-  /** Drops all loads of an engine whose memory was emptied by a restart. */
+  /** Aborts and drops loads of an engine whose memory a restart emptied. */
   clear(engine: string): void;
   /** Drops finished loads of layers that the engine reports as held. */
   dropHeld(engine: string, held: readonly HeldLayers[]): void;
--- a/packages/placement/src/engine_presence.ts
+++ b/packages/placement/src/engine_presence.ts
@@ -8,7 +8,7 @@
 export const LOST_AFTER_MS = 10_000;
 /** Time that a recovered engine must keep answering before it gets layers. */
 export const STABLE_AFTER_MS = 30_000;
-/** Limit of that time for an engine that is lost repeatedly. */
+/** Maximum of the stable time required of an engine that is lost repeatedly. */
 const MAX_STABLE_AFTER_MS = 600_000;
 /** Time in use after which an engine's earlier losses are ignored. */
 const LOSSES_EXPIRE_AFTER_MS = 1_800_000;
@@ -122,7 +122,10 @@
   return performance.now() - decidedAt >= LOSSES_EXPIRE_AFTER_MS ? 0 : losses;
 }
 
-/** Doubles with each loss, so that an unstable engine is not used. */
+/**
+ * Time that the engine must keep answering before it gets layers. It doubles
+ * with each loss after the first, so that an unstable engine is not used.
+ */
 function requiredStableMs({ losses }: Presence): number {
   const doublings = Math.max(0, losses - 1);
   return Math.min(MAX_STABLE_AFTER_MS, STABLE_AFTER_MS * 2 ** doublings);
--- a/packages/placement/src/group_allocation.ts
+++ b/packages/placement/src/group_allocation.ts
@@ -4,7 +4,7 @@
 import { layersWithin } from "./layer_split.ts";
 import type { PlanModel } from "./plan_types.ts";
 
-/** The interval that remains is far below the time of one layer. */
+/** Halvings of a time interval, which end far below the time of one layer. */
 const BISECTION_STEPS = 40;
 
 export interface AllocationOptions {
@@ -61,8 +61,8 @@
 
 /**
  * Bisects for the smallest time limit at which the layer fractions of all
- * engines, spread evenly over the models, add up to every group. Returns a
- * value above `MAX_TIME_MS` if memory is insufficient.
+ * engines, spread evenly over the models, add up to the number of groups.
+ * Returns a value above `MAX_TIME_MS` if memory is insufficient.
  */
 function findFeasibleTimeMs(
   kinds: readonly EngineKind[],
--- a/packages/placement/src/group_search.ts
+++ b/packages/placement/src/group_search.ts
@@ -76,7 +76,7 @@
   /**
    * Allocates by time and, if a group turns out infeasible, by memory too.
    * Where nearly all memory is needed, single moves may not repair a group
-   * that lacks some, and a model would lose its redundant pipeline.
+   * that lacks memory, and a model would lose its redundant pipeline.
    */
   async function allocateAndImprove(
     groupModels: readonly PlanModel[],
@@ -113,7 +113,10 @@
     };
   }
 
-  /** Models with the fewest pipelines, then the lowest rate by weight. */
+  /**
+   * Models with the fewest pipelines, counted up to two, and among them those
+   * with the lowest rate in proportion to their weight.
+   */
   function leastServedModels(candidate: Candidate): readonly PlanModel[] {
     const rateOf = createRateOf(candidate.groups);
     const serviceLevel = ({ model, weight }: PlanModel) => {
@@ -178,9 +181,9 @@
   for (const start of isSmall ? starts : [starts.reduce(betterCandidate)]) {
     candidates.push(...(await addPipelinesGreedily(start)));
   }
-  const finalists = candidates.sort((a, b) => compareScores(b.score, a.score));
+  const ranked = candidates.sort((a, b) => compareScores(b.score, a.score));
   const refined: Candidate[] = [];
-  for (const { groupModels, groups } of finalists.slice(0, FINALIST_COUNT)) {
+  for (const { groupModels, groups } of ranked.slice(0, FINALIST_COUNT)) {
     refined.push(
       await allocateAndImprove(groupModels, MAX_PASSES),
       await improve(groups, MAX_PASSES),
--- a/packages/placement/src/group_search_test.ts
+++ b/packages/placement/src/group_search_test.ts
@@ -90,18 +90,18 @@
 }
 
 /** Returns the best score of all partitions. */
-function exhaustive(
+function exhaustiveBestScore(
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
 ): Score {
   let best: Score = { answered: 0, redundant: 0, utility: 0 };
   for (const groups of partitions(engines, models)) {
     const next = score(groups, models);
-    const isBetter =
+    const gain =
       next.answered - best.answered ||
       next.redundant - best.redundant ||
       next.utility - best.utility;
-    if (isBetter > 0) best = next;
+    if (gain > 0) best = next;
   }
   return best;
 }
@@ -111,7 +111,7 @@
   engines: readonly PlanEngine[],
   models: readonly PlanModel[],
 ): Promise<void> {
-  const best = exhaustive(engines, models);
+  const best = exhaustiveBestScore(engines, models);
   const found = score(await searchGroups(engines, { models }), models);
   expect(found).toMatchObject({
     answered: best.answered,
--- a/packages/placement/src/held_plan.ts
+++ b/packages/placement/src/held_plan.ts
@@ -58,10 +58,11 @@
 function repairPipelines(start: Layout, options: PlanFromHeldOptions): Layout {
   const { models, gainThreshold } = options;
   const rates = sumRates(start.pipelines);
-  const count = ({ model }: PlanModel) => rates.get(model)?.pipelines ?? 0;
+  const pipelineCount = ({ model }: PlanModel) =>
+    rates.get(model)?.pipelines ?? 0;
   // Models with few whole pipelines get idle engines first.
   const ordered = [...models].sort(
-    (a, b) => count(a) - count(b) || b.weight - a.weight,
+    (a, b) => pipelineCount(a) - pipelineCount(b) || b.weight - a.weight,
   );
   let layout = start;
   for (const model of ordered) {
@@ -92,20 +93,20 @@
   },
 ): Promise<Layout> {
   const { engines, models } = context;
-  const byId = new Map(engines.map((engine) => [engine.id, engine]));
-  const byName = new Map(models.map((model) => [model.model, model]));
+  const enginesById = new Map(engines.map((engine) => [engine.id, engine]));
+  const modelsByName = new Map(models.map((model) => [model.model, model]));
 
   function totalMovedMegabytes({ pipelines }: Layout): number {
     return pipelines.reduce((sum, pipeline) => {
-      const model = byName.get(pipeline.model);
+      const model = modelsByName.get(pipeline.model);
       if (!model) return sum;
-      return sum + movedMegabytes(pipeline, { model, engines: byId });
+      return sum + movedMegabytes(pipeline, { model, engines: enginesById });
     }, 0);
   }
 
   async function replanWithout(layout: Layout, dropped: PlannedPipeline) {
     const freed = dropped.stages.flatMap(
-      ({ engine }) => byId.get(engine) ?? [],
+      ({ engine }) => enginesById.get(engine) ?? [],
     );
     const remaining: Layout = {
       pipelines: layout.pipelines.filter((pipeline) => pipeline !== dropped),
--- a/packages/placement/src/held_state.ts
+++ b/packages/placement/src/held_state.ts
@@ -4,24 +4,27 @@
 
 /** Whether the engine holds exactly what is wanted and runs nothing else. */
 export function holdsExactly(state: EngineState, wanted: WantedState): boolean {
-  const sameNote = state.noteNumber === wanted.noteNumber;
-  const sameLayers = areSetsEqual(
+  const isSameNote = state.noteNumber === wanted.noteNumber;
+  const hasSameLayers = areSetsEqual(
     state.held.map(layersKey),
     wanted.hold.map(layersKey),
   );
-  const sameAdapters = areSetsEqual(
+  const hasSameAdapters = areSetsEqual(
     state.adapters.map(adapterKey),
     wanted.adapters.map(adapterKey),
   );
   return (
-    sameNote &&
-    sameLayers &&
-    sameAdapters &&
+    isSameNote &&
+    hasSameLayers &&
+    hasSameAdapters &&
     !runsUnwantedVersion(state, wanted)
   );
 }
 
-/** Whether the engine has the note's number and only what the note allows. */
+/**
+ * Whether the engine reports the note's number, and holds and runs only what
+ * the note allows.
+ */
 export function conformsToNote(
   state: EngineState,
   record: NoteRecord,
--- a/packages/placement/src/layer_split.ts
+++ b/packages/placement/src/layer_split.ts
@@ -64,7 +64,11 @@
   return slowestMs;
 }
 
-/** Splits the layers into contiguous ranges, in the order of the engines. */
+/**
+ * Splits the layers into contiguous ranges, in the order of the engines. If the
+ * engines lack memory, `slowestMs` is `Infinity` and the last layers are in no
+ * stage.
+ */
 export function splitPipeline(
   engines: readonly SplitEngine[],
   layers: number,
--- a/packages/placement/src/mod.ts
+++ b/packages/placement/src/mod.ts
@@ -1,4 +1,4 @@
-/** Plans which layers each engine holds, and orders the engines to. */
+/** Plans which layers each engine holds, and sends the orders. */
 export * from "./control_candidates.ts";
 export * from "./control_lease.ts";
 export * from "./engine_controller.ts";
--- a/packages/placement/src/pipeline_repair.ts
+++ b/packages/placement/src/pipeline_repair.ts
@@ -59,8 +59,8 @@
     .sort((a, b) => a.movedMegabytes - b.movedMegabytes);
   let best: Repair | null = null;
   for (const repair of repairs) {
-    const limitMs = best?.pipeline.slowestMs ?? Infinity;
-    const isFaster = repair.pipeline.slowestMs * (1 + gainThreshold) < limitMs;
+    const bestMs = best?.pipeline.slowestMs ?? Infinity;
+    const isFaster = repair.pipeline.slowestMs * (1 + gainThreshold) < bestMs;
     if (best === null || isFaster) best = repair;
   }
   return best?.pipeline ?? null;
@@ -81,6 +81,7 @@
   let coveredTo = 0;
   for (const nextHeld of [
     ...heldStages,
+    // A sentinel at the end, so that a gap after the last held range is filled.
     { engine: "", from: model.layers, to: -1 },
   ]) {
     if (nextHeld.from > coveredTo) {
--- a/packages/placement/src/placed_state.ts
+++ b/packages/placement/src/placed_state.ts
@@ -44,7 +44,7 @@
   wantedState(engine: string): WantedState;
   /** Weights to load from the weight store. */
   missing(engine: string): readonly MissingWeights[];
-  /** Whether each pipeline holds its most preferred version. */
+  /** Whether each pipeline holds the most preferred of its wanted versions. */
   isComplete(): boolean;
 }
 
@@ -211,7 +211,7 @@
   };
 }
 
-/** Layers that an engine holds once the plan is complete. */
+/** Layers of one version that an engine of the plan should hold. */
 interface Target {
   readonly wanted: HeldLayers;
   readonly priority: number;
--- a/packages/placement/src/placer_test.ts
+++ b/packages/placement/src/placer_test.ts
@@ -187,7 +187,9 @@
     ]);
     expect(placer.plan()?.shortages).toEqual([]);
     const confirmed = controller.confirmations();
-    expect(confirmed.map((one) => one.confirmed)).toEqual([1, 1, 1, 1]);
+    expect(confirmed.map((confirmation) => confirmation.confirmed)).toEqual([
+      1, 1, 1, 1,
+    ]);
   });
 
   it("drop a recalled version at once in a weight store outage", async () => {
@@ -199,7 +201,9 @@
     await advance(100);
     expect(heldBy(client, engines)).toEqual(["", "", "", ""]);
     const confirmed = controller.confirmations();
-    expect(confirmed.map((one) => one.confirmed)).toEqual([2, 2, 2, 2]);
+    expect(confirmed.map((confirmation) => confirmation.confirmed)).toEqual([
+      2, 2, 2, 2,
+    ]);
     store.start();
     await advance(2 * SECOND);
     expect(heldBy(client, engines).join(" ")).toContain("assist/v2:0-2");
@@ -253,11 +257,15 @@
     store.stop();
     apply(note(2, "v2", "v1"));
     await advance(SECOND);
-    const take = client.order;
+    const sendOrder = client.order;
     const confirmed: number[] = [];
     client.order = (address, order) => {
-      confirmed.push(...controller.confirmations().map((one) => one.confirmed));
-      return take(address, order);
+      confirmed.push(
+        ...controller
+          .confirmations()
+          .map((confirmation) => confirmation.confirmed),
+      );
+      return sendOrder(address, order);
     };
     store.start();
     await advance(2 * SECOND);
@@ -414,7 +422,7 @@
     expect(store.loadRequests).toEqual([]);
   });
 
-  it("is not undone when the earlier holder regains the lease", async () => {
+  it("does not let an earlier holder that regains the lease undo the plan", async () => {
     // A holder loses its lease. Meanwhile the next one moves the layers of an
     // engine with a slow restart to an idle engine. The first holder's outdated
     // plan would move them back.
--- a/packages/placement/src/plan_report.ts
+++ b/packages/placement/src/plan_report.ts
@@ -12,7 +12,7 @@
   readonly metrics: Metrics | undefined;
 }
 
-/** Logs a new plan and its shortages, and sets the metric. */
+/** Logs a new plan and its shortages, and sets the planned pipelines metric. */
 export function reportPlan(
   plan: VersionedPlan,
   report: PlanReportContext & { readonly tookMs: number },
@@ -38,7 +38,10 @@
   }
 }
 
-/** Removes the metric, because another instance may plan the domain next. */
+/**
+ * Removes the planned pipelines metric, because another instance may plan the
+ * domain next.
+ */
 export function removePlanMetrics({
   domain,
   models,
--- a/packages/placement/src/plan_score.ts
+++ b/packages/placement/src/plan_score.ts
@@ -10,8 +10,9 @@
 }
 
 /**
- * Compared field by field, in this order: more models with a pipeline outweigh
- * more models with a second one, and both outweigh the rates.
+ * Objective value of a set of pipelines. Scores are compared field by field, in
+ * this order: more models with a pipeline outweigh more models with a second
+ * one, and both outweigh the rates.
  */
 export interface Score {
   /** Models with at least one pipeline. */
--- a/packages/placement/src/plan_test.ts
+++ b/packages/placement/src/plan_test.ts
@@ -168,11 +168,11 @@
     const engines = createEngines([0, 0, 0, 0, 1]);
     const plan = await planDomain({ engines, models: [model] });
     const lost = firstEngineOf(plan);
-    const part = plan.pipelines[0]?.stages[0];
+    const lostStage = plan.pipelines[0]?.stages[0];
     const idleEngine = { ...kinds[0], id: "spare", holds: [] };
     const held = [...removeEngine(applyPlan(engines, plan), lost), idleEngine];
     const next = await planDomain({ engines: held, models: [model] });
-    const layers = (part?.to ?? 0) - (part?.from ?? 0);
+    const layers = (lostStage?.to ?? 0) - (lostStage?.from ?? 0);
     expect(next.movedMegabytes).toBe(layers * model.loadMegabytes);
     expect(next.pipelines).toHaveLength(plan.pipelines.length);
   });
@@ -230,7 +230,7 @@
   for (const { engine, from, to } of stages) {
     const memory = engines.find(({ id }) => id === engine)?.memoryMegabytes;
     const { layerMegabytes, fixedMegabytes } = planned;
-    const taken = fixedMegabytes + (to - from) * layerMegabytes;
-    expect(taken).toBeLessThanOrEqual(memory ?? 0);
+    const neededMegabytes = fixedMegabytes + (to - from) * layerMegabytes;
+    expect(neededMegabytes).toBeLessThanOrEqual(memory ?? 0);
   }
 }
--- a/packages/placement/src/wake_signal.ts
+++ b/packages/placement/src/wake_signal.ts
@@ -4,8 +4,8 @@
   count(): number;
   /**
    * Resolves after the duration or at the next `wake`. Resolves at once if
-   * `wake` was called since `count` returned `countBefore`, as a task that was
-   * busy then would miss the call.
+   * `wake` was called since `count` returned `countBefore`: a task that was
+   * busy during that call would otherwise miss it.
    */
   wait(durationMs: number, countBefore: number): Promise<void>;
   /** Wakes all waiting tasks. */
--- a/packages/placement/src/wanted_versions.ts
+++ b/packages/placement/src/wanted_versions.ts
@@ -27,7 +27,7 @@
 
 /**
  * The preferred versions. While none of them is completely held, the last is
- * replaced by a version that is, as otherwise no engine could answer.
+ * replaced by a completely held version; otherwise no engine could answer.
  */
 function concurrentVersions(options: WantedVersionsOptions): readonly string[] {
   const { serve, versionsAtOnce, isCovered } = options;
