--- a/packages/placement/src/engine_controller.ts
+++ b/packages/placement/src/engine_controller.ts
@@ -196,7 +196,7 @@
       fencingNumber,
     });
     if (result.kind === "ok") {
-      placer?.observe(engine.id, result.state, { isOrdered: true });
+      placer?.observe(engine.id, result.state, { isOrderReply: true });
       return handleOrderedState(result.state, { engine, wanted });
     }
     if (result.kind !== "fenced") placer?.observe(engine.id, null);
--- a/packages/placement/src/engine_presence.ts
+++ b/packages/placement/src/engine_presence.ts
@@ -33,7 +33,7 @@
   leaving: boolean;
   answers: boolean;
   /** When `answers` or `leaving` last changed. */
-  since: number;
+  changedAt: number;
   /** When `isLive` was last set. */
   decidedAt: number;
   losses: number;
@@ -50,7 +50,7 @@
   /** Updates whether the engine is live as of now. */
   function updateDecision(presence: Presence): Presence {
     const now = performance.now();
-    const unchangedMs = now - presence.since;
+    const unchangedMs = now - presence.changedAt;
     const { isLive, answers, leaving } = presence;
     if (isLive === null) {
       if (answers) setDecision(presence, !leaving);
@@ -75,7 +75,7 @@
       if (!presence) return;
       updateDecision(presence);
       if (!presence.answers || presence.leaving !== leaving) {
-        presence.since = performance.now();
+        presence.changedAt = performance.now();
       }
       presence.answers = true;
       presence.leaving = leaving;
@@ -85,7 +85,7 @@
       const presence = presences.get(engine);
       if (!presence) return;
       updateDecision(presence);
-      if (presence.answers) presence.since = performance.now();
+      if (presence.answers) presence.changedAt = performance.now();
       presence.answers = false;
     },
     answers: (engine) => presences.get(engine)?.answers ?? false,
@@ -107,7 +107,7 @@
     isLive: null,
     leaving: false,
     answers: false,
-    since: now,
+    changedAt: now,
     decidedAt: now,
     losses: 0,
   };
--- a/packages/placement/src/placer.ts
+++ b/packages/placement/src/placer.ts
@@ -44,13 +44,13 @@
   /** The state to order now; `null` until the engine is read or lost. */
   wantedState(engine: string, record: NoteRecord): WantedState | null;
   /**
-   * Records the engine's state, or `null` when it does not answer. `isOrdered`
-   * marks a state that an engine reports in reply to an order.
+   * Records the engine's state, or `null` when it does not answer.
+   * `isOrderReply` marks a state that an engine reports in reply to an order.
    */
   observe(
     engine: string,
     state: EngineState | null,
-    options?: { readonly isOrdered: boolean },
+    options?: { readonly isOrderReply: boolean },
   ): void;
   /** Subscribes to engines that must be checked; returns the unsubscribe. */
   onChange(listener: (engines: readonly string[]) => void): () => void;
@@ -219,7 +219,7 @@
     needsRead: (engine) =>
       placedEngines.has(engine) &&
       !(states.has(engine) && presence.answers(engine)),
-    observe(engine, state, { isOrdered } = { isOrdered: false }) {
+    observe(engine, state, { isOrderReply } = { isOrderReply: false }) {
       if (!placedEngines.has(engine)) return;
       if (presence.answers(engine) !== (state !== null)) cachedState = null;
       if (!state) return presence.silent(engine);
@@ -230,7 +230,7 @@
       if (isRestarted) loads.clear(engine);
       // The order listed layers that the engine held before it restarted. The
       // engine repeats them in its reply, but its memory has no weights.
-      const isEmptied = isRestarted && isOrdered;
+      const isEmptied = isRestarted && isOrderReply;
       const held = isEmptied ? [] : state.held;
       states.set(engine, { ...state, held });
       loads.dropHeld(engine, held);
