--- a/packages/placement/src/engine_presence.ts
+++ b/packages/placement/src/engine_presence.ts
@@ -8,7 +8,7 @@
 export const LOST_AFTER_MS = 10_000;
 /** Time that a recovered engine must keep answering before it gets layers. */
 export const STABLE_AFTER_MS = 30_000;
-/** Limit of that time for an engine that is lost repeatedly. */
+/** Maximum of the stable time required of an engine that is lost repeatedly. */
 const MAX_STABLE_AFTER_MS = 600_000;
 /** Time in use after which an engine's earlier losses are ignored. */
 const LOSSES_EXPIRE_AFTER_MS = 1_800_000;
@@ -33,7 +33,7 @@
   leaving: boolean;
   answers: boolean;
   /** When `answers` or `leaving` last changed. */
-  since: number;
+  changedAt: number;
   /** When `isLive` was last set. */
   decidedAt: number;
   losses: number;
@@ -50,7 +50,7 @@
   /** Updates whether the engine is live as of now. */
   function updateDecision(presence: Presence): Presence {
     const now = performance.now();
-    const unchangedMs = now - presence.since;
+    const unchangedMs = now - presence.changedAt;
     const { isLive, answers, leaving } = presence;
     if (isLive === null) {
       if (answers) setDecision(presence, !leaving);
@@ -75,7 +75,7 @@
       if (!presence) return;
       updateDecision(presence);
       if (!presence.answers || presence.leaving !== leaving) {
-        presence.since = performance.now();
+        presence.changedAt = performance.now();
       }
       presence.answers = true;
       presence.leaving = leaving;
@@ -85,7 +85,7 @@
       const presence = presences.get(engine);
       if (!presence) return;
       updateDecision(presence);
-      if (presence.answers) presence.since = performance.now();
+      if (presence.answers) presence.changedAt = performance.now();
       presence.answers = false;
     },
     answers: (engine) => presences.get(engine)?.answers ?? false,
@@ -107,7 +107,7 @@
     isLive: null,
     leaving: false,
     answers: false,
-    since: now,
+    changedAt: now,
     decidedAt: now,
     losses: 0,
   };
@@ -122,7 +122,10 @@
   return performance.now() - decidedAt >= LOSSES_EXPIRE_AFTER_MS ? 0 : losses;
 }
 
-/** Doubles with each loss, so that an unstable engine is not used. */
+/**
+ * Time that the engine must keep answering before it gets layers. It doubles
+ * with each loss after the first, so that an unstable engine is not used.
+ */
 function requiredStableMs({ losses }: Presence): number {
   const doublings = Math.max(0, losses - 1);
   return Math.min(MAX_STABLE_AFTER_MS, STABLE_AFTER_MS * 2 ** doublings);
