--- a/packages/backends/src/engine_client.ts
+++ b/packages/backends/src/engine_client.ts
@@ -50,7 +50,7 @@
   ): Promise<AttemptStart>;
   cancel(address: Address, requestId: string): Promise<void>;
   order(address: Address, order: EngineOrder): Promise<OrderResult>;
-  /** `null` when the engine does not answer in time. */
+  /** Resolves to `null` when the engine gives no valid response in time. */
   readState(
     address: Address,
     options?: { readonly timeoutMs?: number },
--- a/packages/backends/src/engine_contract_test.ts
+++ b/packages/backends/src/engine_contract_test.ts
@@ -136,7 +136,11 @@
   });
 
   const refusals: [string, Partial<AttemptRequest>, string][] = [
-    ["a version that is not held", { version: "v2" }, "refused"],
+    [
+      "an attempt with a version that is not held",
+      { version: "v2" },
+      "refused",
+    ],
     ["an invalid attempt", { maxTokens: -1 }, "broken"],
   ];
   it.each(refusals)("does not start %s", async (_what, change, kind) => {
@@ -160,7 +164,10 @@
   });
 });
 
-/** Engines of some deployments ignore the fencing number. */
+/**
+ * Engines of some deployments ignore the fencing number, so no guarantee may
+ * depend on it alone.
+ */
 it.each([
   ["checks fencing numbers", true, "fenced", 5],
   ["ignores fencing numbers", false, "ok", 4],
@@ -184,18 +191,39 @@
  * get half an answer as a complete one. No part of an unreadable line is passed
  * on, since it might be half a token.
  */
-describe("engine client with a faulty stream", () => {
+describe("engine client, stream of events", () => {
   it.each([
-    ["reset", [STARTED, TOKEN], true, ["started", "token"]],
-    ["garbage line", [STARTED, "no json\n"], true, ["started"]],
-    ["unknown event", [STARTED, '{"type":"hum"}\n'], true, ["started"]],
-    ["token without index", [TOKEN.replace('"index":0,', "")], true, []],
-    ["lines in pieces", [STARTED.slice(0, 9), STARTED.slice(9)], false, null],
+    ["breaks at a reset", [STARTED, TOKEN], true, ["started", "token"]],
+    [
+      "breaks at a line that is not JSON",
+      [STARTED, "no json\n"],
+      true,
+      ["started"],
+    ],
+    [
+      "breaks at an unknown event",
+      [STARTED, '{"type":"hum"}\n'],
+      true,
+      ["started"],
+    ],
+    [
+      "breaks at a token without an index",
+      [TOKEN.replace('"index":0,', "")],
+      true,
+      [],
+    ],
+    [
+      "joins a line that arrives in pieces",
+      [STARTED.slice(0, 9), STARTED.slice(9)],
+      false,
+      null,
+    ],
   ] as const)("%s", async (what, chunks, broke, events) => {
     const address = await startFaulty((response) => {
       response.writeHead(200);
       for (const chunk of chunks) response.write(chunk);
-      if (what === "reset") setTimeout(() => response.destroy(), 50);
+      if (what === "breaks at a reset")
+        setTimeout(() => response.destroy(), 50);
       else response.end();
     });
     const result = await start(address);
--- a/packages/backends/src/engine_fleet.ts
+++ b/packages/backends/src/engine_fleet.ts
@@ -5,9 +5,12 @@
 import type { EngineSubset } from "./engine_subset.ts";
 import { MIN_READ_INTERVAL_MS, readIntervalMs } from "./read_interval.ts";
 
-/** Age of the last state after which an engine gets no new work. */
+/**
+ * Age of the last state after which a watched engine gets no new work. It is
+ * extended by the excess of the read interval over the minimum.
+ */
 const STALE_AFTER_MS = 2_000;
-/** Read budget for watched engines: a third of a node's control traffic. */
+/** Read budget for watched engines: a third of a node's limit for control. */
 const WATCH_BYTES_PER_SECOND = 1_000;
 /**
  * Maximum interval between reads of a watched engine, regardless of budget.
@@ -225,8 +228,8 @@
       for (const id of engines) {
         const entry = entries.get(id);
         if (!entry) continue;
-        const soon = performance.now() + Math.random() * NOTICE_JITTER_MS;
-        entry.nextReadAt = Math.min(entry.nextReadAt, soon);
+        const recheckAt = performance.now() + Math.random() * NOTICE_JITTER_MS;
+        entry.nextReadAt = Math.min(entry.nextReadAt, recheckAt);
       }
     },
     occupy(engines) {
--- a/packages/backends/src/engine_subset.ts
+++ b/packages/backends/src/engine_subset.ts
@@ -106,10 +106,10 @@
   const sameDomain = members.filter(
     ({ failureDomain }) => failureDomain === engine.failureDomain,
   );
-  const watchers = sameDomain.length > 0 ? sameDomain : members;
-  if (!watchers.some(({ id }) => id === self.id)) return false;
+  const candidates = sameDomain.length > 0 ? sameDomain : members;
+  if (!candidates.some(({ id }) => id === self.id)) return false;
   const ownRank = rank(self.id, engine.id);
-  const higherRanked = watchers.filter(
+  const higherRanked = candidates.filter(
     ({ id }) => rank(id, engine.id) > ownRank,
   );
   return higherRanked.length < WATCHERS_PER_ENGINE;
--- a/packages/backends/src/server_health.ts
+++ b/packages/backends/src/server_health.ts
@@ -8,7 +8,7 @@
  * call counts as a failure.
  */
 const SLOW_FACTOR = 8;
-/** Calls below this duration never count as slow. */
+/** Calls below this never count as slow, as their latencies vary anyway. */
 const MIN_SLOW_MS = 250;
 const LATENCY_SMOOTHING = 0.1;
 
--- a/packages/bench/src/limits/limits_bench.ts
+++ b/packages/bench/src/limits/limits_bench.ts
@@ -1,4 +1,4 @@
-/** How well shared limits hold, and what they cost, in one process. */
+/** Measures the accuracy and the cost of shared limits in one process. */
 import {
   chooseCoordinator,
   createLimitCoordinator,
@@ -12,14 +12,14 @@
 import { xoroshiro128plus } from "pure-rand/generator/xoroshiro128plus";
 import type { BenchCommand } from "../bench_command.ts";
 
-/** Headers of a request, of its answer, and of the packets of both. */
+/** Bytes of the headers of a request, its response and their packets. */
 const HEADER_BYTES = 560;
 const STEP_MS = 20;
 const LIMIT = 20;
 
 interface Row {
   readonly instances: number;
-  /** Organisations with a limit that ask for little. */
+  /** Number of organisations that stay far below their limit. */
   readonly light: number;
 }
 
@@ -28,7 +28,7 @@
   { instances: 64, light: 1_200 },
   { instances: 340, light: 6_400 },
 ];
-/** Of all light organisations together, for each instance. */
+/** Requests per second and instance of all light organisations together. */
 const LIGHT_PER_INSTANCE = 2.9;
 
 interface Figures {
@@ -49,11 +49,11 @@
   }));
   const limitsOf = createLimitsOf(limited);
   const ids = Array.from({ length: row.instances }, (_, at) => `entry-${at}`);
-  const homes = new Map(
+  const coordinators = new Map(
     ids.map((id) => [id, createLimitCoordinator({ limitsOf })]),
   );
   const random = xoroshiro128plus(1);
-  /** Sent and received by each instance. */
+  /** Bytes sent and received, by instance. */
   const bytes = new Map<string, number>();
 
   function createInstance(id: string) {
@@ -61,13 +61,13 @@
       limitsOf,
       coordinators: {
         coordinatorOf: (organisation) => chooseCoordinator(organisation, ids),
-        isSelf: (home) => home === id,
-        async report(home, report: LimitReport) {
-          const answer = homes.get(home)?.report(report) ?? null;
+        isSelf: (coordinator) => coordinator === id,
+        async report(coordinator, report: LimitReport) {
+          const answer = coordinators.get(coordinator)?.report(report) ?? null;
           const bodies = JSON.stringify(report) + JSON.stringify(answer);
-          const cost = home === id ? 0 : HEADER_BYTES + bodies.length;
-          for (const each of [id, home]) {
-            bytes.set(each, (bytes.get(each) ?? 0) + cost);
+          const cost = coordinator === id ? 0 : HEADER_BYTES + bodies.length;
+          for (const endpoint of [id, coordinator]) {
+            bytes.set(endpoint, (bytes.get(endpoint) ?? 0) + cost);
           }
           return answer;
         },
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -53,7 +53,10 @@
 } from "./graceful_close.ts";
 import { countNotes, createInstanceLevels } from "./instance_levels.ts";
 import { hasHeardEachRole, highestNoteOf } from "./known_state.ts";
-import { createLimitHomes, limitHomeMethods } from "./limit_homes.ts";
+import {
+  createLimitCoordinators,
+  limitCoordinatorMethods,
+} from "./limit_coordinators.ts";
 import { createNoteInspector } from "./note_inspector.ts";
 import { createPlainServices } from "./plain_services.ts";
 import { createRequestFinder, requestFinderMethods } from "./request_finder.ts";
@@ -180,10 +183,15 @@
   });
   const requests = createRequestMemory({ instance: id });
   const limitsOf = createLimitsOf(settings.organisations);
-  const limitHome = createLimitCoordinator({ limitsOf });
+  const limitCoordinator = createLimitCoordinator({ limitsOf });
   const limits = createSharedLimits({
     limitsOf,
-    coordinators: createLimitHomes({ id, membership, peers, home: limitHome }),
+    coordinators: createLimitCoordinators({
+      id,
+      membership,
+      peers,
+      home: limitCoordinator,
+    }),
   });
   const levels = createInstanceLevels(settings);
   countNotes(keeper, { levels, objectives: settings.objectives });
@@ -239,7 +247,7 @@
     },
     ...services.peerMethods,
     ...requestFinderMethods(requests),
-    ...limitHomeMethods(limitHome),
+    ...limitCoordinatorMethods(limitCoordinator),
   });
   const adminServer = await startAdminServer({
     settings,
--- a/packages/limits/src/limit_coordinator.ts
+++ b/packages/limits/src/limit_coordinator.ts
@@ -17,7 +17,7 @@
   report(report: LimitReport): LimitVerdicts;
 }
 
-interface Use {
+interface AverageRate {
   requestsPerSecond: number;
   tokensPerSecond: number;
   updatedAt: number;
@@ -25,37 +25,37 @@
 
 /**
  * Creates a coordinator without usage. Usage decays exponentially, so an
- * organisation takes three numbers, regardless of how many instances report
- * it. After a change of coordinator, limits may be exceeded until the new one
- * has received reports for about the averaging time.
+ * organisation is stored as three numbers, regardless of how many instances
+ * report it. After a change of coordinator, limits may be exceeded until the
+ * new one has received reports for about the averaging time.
  */
 export function createLimitCoordinator(options: {
   readonly limitsOf: LimitsOf;
 }): LimitCoordinator {
-  const uses = new Map<string, Use>();
+  const averageRates = new Map<string, AverageRate>();
   const interval = createReportInterval();
   let sweptAt = performance.now();
 
-  function decayedUse(organisation: string): Use {
+  function decayedRate(organisation: string): AverageRate {
     const now = performance.now();
-    const use = uses.get(organisation) ?? {
+    const rate = averageRates.get(organisation) ?? {
       requestsPerSecond: 0,
       tokensPerSecond: 0,
       updatedAt: now,
     };
-    const factor = Math.exp((use.updatedAt - now) / AVERAGING_TIME_MS);
-    use.requestsPerSecond *= factor;
-    use.tokensPerSecond *= factor;
-    use.updatedAt = now;
-    uses.set(organisation, use);
-    return use;
+    const factor = Math.exp((rate.updatedAt - now) / AVERAGING_TIME_MS);
+    rate.requestsPerSecond *= factor;
+    rate.tokensPerSecond *= factor;
+    rate.updatedAt = now;
+    averageRates.set(organisation, rate);
+    return rate;
   }
 
-  function createVerdict(organisation: string, use: Use): Verdict {
+  function createVerdict(organisation: string, rate: AverageRate): Verdict {
     const limits = options.limitsOf(organisation);
     const share = Math.min(
-      shareOf(limits?.requestsPerSecond, use.requestsPerSecond),
-      shareOf(limits?.tokensPerSecond, use.tokensPerSecond),
+      shareOf(limits?.requestsPerSecond, rate.requestsPerSecond),
+      shareOf(limits?.tokensPerSecond, rate.tokensPerSecond),
     );
     return { organisation, share };
   }
@@ -64,8 +64,8 @@
     const now = performance.now();
     if (now - sweptAt < IDLE_TTL_MS) return;
     sweptAt = now;
-    for (const [organisation, { updatedAt }] of uses) {
-      if (now - updatedAt > IDLE_TTL_MS) uses.delete(organisation);
+    for (const [organisation, { updatedAt }] of averageRates) {
+      if (now - updatedAt > IDLE_TTL_MS) averageRates.delete(organisation);
     }
   }
 
@@ -74,10 +74,10 @@
       removeIdle();
       const seconds = AVERAGING_TIME_MS / 1_000;
       const verdicts = usages.map(({ organisation, requests, tokens }) => {
-        const use = decayedUse(organisation);
-        use.requestsPerSecond += requests / seconds;
-        use.tokensPerSecond += tokens / seconds;
-        return createVerdict(organisation, use);
+        const rate = decayedRate(organisation);
+        rate.requestsPerSecond += requests / seconds;
+        rate.tokensPerSecond += tokens / seconds;
+        return createVerdict(organisation, rate);
       });
       return { verdicts, nextAfterMs: interval.next() };
     },
--- a/packages/limits/src/report_interval.ts
+++ b/packages/limits/src/report_interval.ts
@@ -6,7 +6,7 @@
 const MAX_INTERVAL_MS = 600_000;
 /** Minimum time between adjustments, or the interval if that is longer. */
 const MIN_ADJUST_MS = 10_000;
-/** Maximum ratio of observed to target rate that an adjustment uses. */
+/** Limit of the rate ratio in one adjustment, so that the interval settles. */
 const MAX_STEP = 8;
 
 export interface ReportInterval {
@@ -20,8 +20,8 @@
  * instances with a report a second would cost it 220 KB a second. So the
  * coordinator lengthens the interval until reports arrive at the target rate.
  * A new interval takes effect only with the senders' next reports, so it is
- * adjusted no sooner than that. Adjusted every ten seconds, it oscillated
- * between far too short and far too long.
+ * adjusted no sooner than that. With an adjustment every ten seconds, it would
+ * oscillate between far too short and far too long.
  */
 export function createReportInterval(): ReportInterval {
   let intervalMs = MIN_INTERVAL_MS;
@@ -30,9 +30,9 @@
 
   function adjust(elapsedMs: number): void {
     const perSecond = reportCount / (elapsedMs / 1_000);
-    const step = perSecond / TARGET_REPORTS_PER_SECOND;
-    const bounded = Math.min(MAX_STEP, Math.max(1 / MAX_STEP, step));
-    const next = intervalMs * Math.sqrt(bounded);
+    const rateRatio = perSecond / TARGET_REPORTS_PER_SECOND;
+    const boundedRatio = Math.min(MAX_STEP, Math.max(1 / MAX_STEP, rateRatio));
+    const next = intervalMs * Math.sqrt(boundedRatio);
     intervalMs = Math.min(MAX_INTERVAL_MS, Math.max(MIN_INTERVAL_MS, next));
   }
 
--- a/packages/limits/src/shared_limits.ts
+++ b/packages/limits/src/shared_limits.ts
@@ -75,28 +75,28 @@
   let reportsLeft = REPORT_BURST;
 
   function stateOf(organisation: string): OrganisationState {
-    const fresh = {
+    const initial = {
       requests: 0,
       tokens: 0,
       share: 1,
       shareExpiresAt: 0,
       credit: 0,
     };
-    const found = organisations.get(organisation) ?? fresh;
-    organisations.set(organisation, found);
-    return found;
+    const state = organisations.get(organisation) ?? initial;
+    organisations.set(organisation, state);
+    return state;
   }
 
   async function sendReports(): Promise<void> {
-    for (const [coordinator, at] of nextReportAt) {
-      if (at < performance.now()) nextReportAt.delete(coordinator);
+    for (const [coordinator, reportAt] of nextReportAt) {
+      if (reportAt < performance.now()) nextReportAt.delete(coordinator);
     }
     const accrued =
       reportsLeft + (REPORTS_PER_SECOND * REPORT_INTERVAL_MS) / 1_000;
     reportsLeft = Math.min(REPORT_BURST, accrued);
     const usagesByCoordinator = groupByCoordinator();
     const heaviestFirst = [...usagesByCoordinator].sort(
-      ([, a], [, b]) => maxRelativeUse(b) - maxRelativeUse(a),
+      ([, a], [, b]) => maxRelativeUsage(b) - maxRelativeUsage(a),
     );
     const sent: Promise<void>[] = [];
     for (const [coordinator, usages] of heaviestFirst) {
@@ -146,9 +146,9 @@
       nextReportAt.set(coordinator, now + jittered(nextAfterMs));
     const ttlMs = Math.max(MIN_VERDICT_TTL_MS, VERDICT_INTERVALS * nextAfterMs);
     for (const { organisation, share } of answer.verdicts) {
-      const found = stateOf(organisation);
-      found.share = share;
-      found.shareExpiresAt = now + ttlMs;
+      const state = stateOf(organisation);
+      state.share = share;
+      state.shareExpiresAt = now + ttlMs;
     }
   }
 
@@ -156,17 +156,17 @@
     { organisation, requests, tokens }: Usage,
     sign: 1 | -1,
   ): void {
-    const found = stateOf(organisation);
-    found.requests += sign * requests;
-    found.tokens += sign * tokens;
+    const state = stateOf(organisation);
+    state.requests += sign * requests;
+    state.tokens += sign * tokens;
   }
 
   /** Usage of the organisation that is heaviest relative to its limits. */
-  function maxRelativeUse(usages: readonly Usage[]): number {
-    return Math.max(...usages.map(relativeUse));
+  function maxRelativeUsage(usages: readonly Usage[]): number {
+    return Math.max(...usages.map(relativeUsage));
   }
 
-  function relativeUse({ organisation, requests, tokens }: Usage): number {
+  function relativeUsage({ organisation, requests, tokens }: Usage): number {
     const limits = options.limitsOf(organisation);
     return Math.max(
       requests / (limits?.requestsPerSecond ?? Number.POSITIVE_INFINITY),
@@ -185,13 +185,13 @@
   return {
     admit(organisation, { tokens }) {
       if (!options.limitsOf(organisation)) return { kind: "admitted" };
-      const found = stateOf(organisation);
-      found.requests += 1;
-      found.tokens += tokens;
-      const share = performance.now() < found.shareExpiresAt ? found.share : 1;
-      found.credit = Math.min(2, found.credit + share);
-      if (found.credit < 1) return refuse(share);
-      found.credit -= 1;
+      const state = stateOf(organisation);
+      state.requests += 1;
+      state.tokens += tokens;
+      const share = performance.now() < state.shareExpiresAt ? state.share : 1;
+      state.credit = Math.min(2, state.credit + share);
+      if (state.credit < 1) return refuse(share);
+      state.credit -= 1;
       return { kind: "admitted" };
     },
     stop: () => stopped.abort(),
--- a/packages/limits/src/shared_limits_test.ts
+++ b/packages/limits/src/shared_limits_test.ts
@@ -26,17 +26,17 @@
   const limitsOf = (organisation: string) => limits[organisation];
   const random = xoroshiro128plus(7);
   let coordinator = createLimitCoordinator({ limitsOf });
-  let isCut = false;
+  let isUnreachable = false;
   let reports = 0;
-  const instances = Array.from({ length: size }, (_, at) =>
+  const instances = Array.from({ length: size }, (_, index) =>
     createSharedLimits({
       limitsOf,
       coordinators: {
         coordinatorOf: () => "0",
-        isSelf: () => at === 0,
-        async report(_home, report) {
-          if (at > 0) reports += 1;
-          return isCut ? null : coordinator.report(report);
+        isSelf: () => index === 0,
+        async report(_coordinator, report) {
+          if (index > 0) reports += 1;
+          return isUnreachable ? null : coordinator.report(report);
         },
       },
     }),
@@ -54,9 +54,9 @@
       for (const [name, rate] of Object.entries(rates)) {
         due[name] = (due[name] ?? 0) + (rate * STEP_MS) / 1_000;
         for (; (due[name] ?? 0) >= 1; due[name] = (due[name] ?? 0) - 1) {
-          const at = uniformInt(random, 0, size - 1);
+          const index = uniformInt(random, 0, size - 1);
           const tokens = options.tokens ?? 1;
-          const kind = instances[at]?.admit(name, { tokens }).kind;
+          const kind = instances[index]?.admit(name, { tokens }).kind;
           if (kind === "admitted") admitted[name] = (admitted[name] ?? 0) + 1;
         }
       }
@@ -68,17 +68,17 @@
     instances,
     offer,
     reports: () => reports,
-    cut(value: boolean) {
-      isCut = value;
+    setUnreachable(value: boolean) {
+      isUnreachable = value;
     },
-    replaceHome() {
+    replaceCoordinator() {
       coordinator = createLimitCoordinator({ limitsOf });
     },
   };
 }
 
 describe("shared limits", () => {
-  it.each([4, 64])("hold over %i instances together", async (size) => {
+  it.each([4, 64])("apply across %i instances together", async (size) => {
     // Each instance sees a small part of an organisation's requests. With local
     // counts, ten requests a second would become ten on each instance.
     const fleet = createFleet(size, { kano: { requestsPerSecond: 20 } });
@@ -100,7 +100,7 @@
     expect(rate("free")).toBe(50);
   });
 
-  it("hold for requested tokens", async () => {
+  it("apply to requested tokens", async () => {
     const fleet = createFleet(4, { kano: { tokensPerSecond: 1_000 } });
     await fleet.offer({ kano: 40 }, { seconds: 60, tokens: 100 });
     const tokens = { seconds: 60, tokens: 100 };
@@ -125,16 +125,16 @@
     // protects other organisations.
     const fleet = createFleet(4, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 30 });
-    fleet.cut(true);
+    fleet.setUnreachable(true);
     await fleet.offer({ kano: 80 }, { seconds: 70 });
     const rate = await fleet.offer({ kano: 80 }, { seconds: 10 });
     expect(rate("kano")).toBe(80);
   });
 
-  it("hold after another instance becomes the coordinator", async () => {
+  it("apply after another instance becomes the coordinator", async () => {
     const fleet = createFleet(4, { kano: { requestsPerSecond: 20 } });
     await fleet.offer({ kano: 80 }, { seconds: 60 });
-    fleet.replaceHome();
+    fleet.replaceCoordinator();
     await fleet.offer({ kano: 80 }, { seconds: 60 });
     const rate = await fleet.offer({ kano: 80 }, { seconds: 60 });
     expect(rate("kano")).toBeLessThan(24);
@@ -159,8 +159,8 @@
     // Without a budget, each of 340 instances would report each of 6,400
     // organisations to its coordinator every second.
     const limits = Object.fromEntries(
-      Array.from({ length: 200 }, (_, at) => [
-        `organisation-${at}`,
+      Array.from({ length: 200 }, (_, index) => [
+        `organisation-${index}`,
         { requestsPerSecond: 10 },
       ]),
     );
--- a/packages/membership/src/dissemination.ts
+++ b/packages/membership/src/dissemination.ts
@@ -3,7 +3,7 @@
 import type { ByteBudget } from "./byte_budget.ts";
 import type { MemberTable } from "./member_table.ts";
 
-/** Limit for records that a datagram carries in addition to its purpose. */
+/** Maximum size of the records that are piggybacked on one datagram. */
 const MAX_PIGGYBACK_BYTES = 400;
 
 /** Kind of a change, which decides how often its record is sent. */
@@ -12,7 +12,7 @@
 export interface Dissemination {
   /** Queues the record of a member that has changed. */
   enqueue(id: string, urgency: Urgency): void;
-  /** Records for the next datagram, those with most sends left first. */
+  /** Records for the next datagram, those with the most sends left first. */
   take(): MemberNews[];
 }
 
--- a/packages/membership/src/goodbye_test.ts
+++ b/packages/membership/src/goodbye_test.ts
@@ -20,8 +20,8 @@
 
 /**
  * Closing the socket in the same turn as the send drops the goodbye of a
- * planned stop. If another program then takes the address, a recall waits for
- * the instance until its time without contact, an hour, has passed.
+ * planned stop. If another program then takes the address, a recall waits until
+ * the hour has passed for which an instance may serve without contact.
  */
 it("membership sends its goodbye before the socket closes", async () => {
   const addresses = [await freeAddress(), await freeAddress()];
--- a/packages/membership/src/member_table.ts
+++ b/packages/membership/src/member_table.ts
@@ -12,7 +12,7 @@
 export const BUCKETS = 128;
 /** Further records are refused, so that memory stays bounded. */
 const MAX_RECORDS = 4_096;
-/** Retention of a goodbye, by the end of which no old datagram can arrive. */
+/** Retention of a goodbye, which exceeds the delay of any datagram. */
 const LEFT_RETENTION_MS = 15 * 60_000;
 
 const { h32 } = await xxhash();
--- a/packages/membership/src/membership_test.ts
+++ b/packages/membership/src/membership_test.ts
@@ -124,12 +124,12 @@
     const victim = nodeAt(nodes, 5);
     links.silence({ host: HOST, port: victim.port });
     await vi.advanceTimersByTimeAsync(20_000);
-    const living = nodes.filter((node) => node !== victim);
-    expect(new Set(living.map((node) => stateOf(node, victim)))).toEqual(
+    const remaining = nodes.filter((node) => node !== victim);
+    expect(new Set(remaining.map((node) => stateOf(node, victim)))).toEqual(
       new Set(["suspect"]),
     );
     await vi.advanceTimersByTimeAsync(20 * MINUTE_MS);
-    expect(new Set(living.map((node) => stateOf(node, victim)))).toEqual(
+    expect(new Set(remaining.map((node) => stateOf(node, victim)))).toEqual(
       new Set(["suspect"]),
     );
   });
@@ -266,7 +266,7 @@
   // pending answers are read. It must not suspect other instances.
   it("suspects no instance after a pause of its own process", async () => {
     const nodes = await startFleet(6);
-    const frozen = nodeAt(nodes);
+    const paused = nodeAt(nodes);
     links.faults.loss = 1;
     // A probe is sent at the next step, after 500 ms, and is lost.
     await vi.advanceTimersByTimeAsync(510);
@@ -279,7 +279,7 @@
     links.faults.loss = 0;
     await vi.advanceTimersByTimeAsync(65);
     expect(
-      frozen.membership.peers().filter(({ state }) => state !== "alive"),
+      paused.membership.peers().filter(({ state }) => state !== "alive"),
     ).toEqual([]);
     clock.mockRestore();
   });
@@ -302,8 +302,8 @@
     expect(joiner.membership.peers()).toHaveLength(3);
     expect(stateOf(joiner, victim)).toBeUndefined();
     await vi.advanceTimersByTimeAsync(25 * MINUTE_MS);
-    const living = nodes.filter((node) => node !== victim);
-    expect(living.map((node) => stateOf(node, victim))).toEqual([
+    const remaining = nodes.filter((node) => node !== victim);
+    expect(remaining.map((node) => stateOf(node, victim))).toEqual([
       undefined,
       undefined,
       undefined,
@@ -336,8 +336,8 @@
     const metrics = createMetrics();
     await start({ domain: "a", port: 1, seedPorts: [] }, { metrics });
     const address = { host: HOST, port: 99 };
-    const stranger = links.transport({ address, domain: "a" });
-    stranger.send(Buffer.from(datagram), { host: HOST, port: 1 });
+    const sender = links.transport({ address, domain: "a" });
+    sender.send(Buffer.from(datagram), { host: HOST, port: 1 });
     await vi.advanceTimersByTimeAsync(10);
     const dropped = await metrics.peerDatagramsDropped.get();
     expect(dropped.values).toMatchObject([
@@ -347,7 +347,7 @@
 
   // The platform's instance list has an instance that is not in the settings,
   // and a wrong entry, which must do no harm.
-  it("joins an instance known from a hint only", async () => {
+  it("joins an instance that only a hint lists", async () => {
     const alone = await start({ domain: "a", port: 1, seedPorts: [] });
     const hints = async () => [
       { host: HOST, port: 77 },
@@ -362,9 +362,9 @@
   // than its requests and could saturate the links without a limit.
   it("limits answers to repeated sync requests", async () => {
     const nodes = await startFleet(24);
-    const asked = nodeAt(nodes);
+    const target = nodeAt(nodes);
     const address = { host: HOST, port: 800 };
-    const asker = links.transport({ address, domain: "a" });
+    const requester = links.transport({ address, domain: "a" });
     const digests = Buffer.alloc(256).toString("base64");
     const from = ["asker", "a", HOST, 800, 1, 0, 0, 0, 0, 0];
     const message = {
@@ -374,15 +374,15 @@
     };
     const datagram = Buffer.from(JSON.stringify(message));
     await vi.advanceTimersByTimeAsync(MINUTE_MS);
-    const asks = 500;
-    const everyMs = 200;
+    const requestCount = 500;
+    const intervalMs = 200;
     const before = bytesOf(address.port);
-    for (let index = 0; index < asks; index++) {
-      asker.send(datagram, { host: HOST, port: asked.port });
-      await vi.advanceTimersByTimeAsync(everyMs);
+    for (let index = 0; index < requestCount; index++) {
+      requester.send(datagram, { host: HOST, port: target.port });
+      await vi.advanceTimersByTimeAsync(intervalMs);
     }
-    const sent = asks * (datagram.length + HEADER_BYTES);
-    const seconds = (asks * everyMs) / 1_000;
+    const sent = requestCount * (datagram.length + HEADER_BYTES);
+    const seconds = (requestCount * intervalMs) / 1_000;
     const answered = (bytesOf(address.port) - before - sent) / seconds;
     expect(answered).toBeLessThan(3_000);
   });
--- a/packages/membership/src/own_record.ts
+++ b/packages/membership/src/own_record.ts
@@ -23,7 +23,7 @@
   share(change: Partial<SharedState>): void;
   /** Marks this incarnation as ended. */
   leave(): void;
-  /** Takes news of this instance; refutes wrong news by a higher revision. */
+  /** Handles news of this instance; refutes wrong news by a higher revision. */
   handleNews(news: MemberNews): Correction;
 }
 
@@ -58,7 +58,8 @@
    * A process that resumes after a pause may learn of a successor with its id.
    * It may hold an old note and must not supersede the successor, so it refutes
    * nothing. The same occurs if the clock was set back before a restart: peers
-   * then ignore this process as the older one until they drop the previous one.
+   * then ignore this process as the older one until they drop the record of the
+   * previous one.
    */
   function warnOfSuccessor({ incarnation, peer }: MemberRecord): void {
     const now = performance.now();
--- a/packages/membership/src/peer_rpc.ts
+++ b/packages/membership/src/peer_rpc.ts
@@ -1,4 +1,4 @@
-/** Requests between instances: JSON-RPC 2.0 over kept-alive HTTP. */
+/** Requests between instances: JSON-RPC 2.0 over HTTP with keep-alive. */
 import { createServer, type IncomingMessage, type Server } from "node:http";
 import { type Address, formatAddress } from "@rosemarypin/schemas";
 import {
--- a/packages/membership/src/table_sync.ts
+++ b/packages/membership/src/table_sync.ts
@@ -22,7 +22,7 @@
 }) {
   const { table, self, budget, random } = options;
 
-  /** Bucket hashes of the table with this instance's record, which it lacks. */
+  /** Bucket hashes of the table and this instance's record, which it lacks. */
   function hashes(): Uint32Array {
     const bucketHashes = Uint32Array.from(table.hashes());
     const own = self();
--- a/packages/membership/src/urgent_news.ts
+++ b/packages/membership/src/urgent_news.ts
@@ -23,7 +23,7 @@
   /** The highest note number that is due to be gossiped. */
   let pendingNote = 0;
 
-  /** Sends a datagram, which has the sender's record, with `news` added. */
+  /** Sends `news` and, as in every datagram, the sender's record. */
   function gossip(news: readonly MemberNews[]): void {
     for (const target of targets()) send(news, target);
   }
--- a/packages/routing/src/admission.ts
+++ b/packages/routing/src/admission.ts
@@ -8,7 +8,7 @@
  * Maximum time to the first token of each class, as a multiple of the
  * objective. Batch requests have no interactive reader.
  */
-const MAX_OBJECTIVES: Readonly<Record<Priority, number>> = {
+const OBJECTIVE_MULTIPLES: Readonly<Record<Priority, number>> = {
   interactive: 1,
   standard: 1,
   batch: 12,
@@ -43,7 +43,7 @@
 ): Admission {
   const maxFirstTokenMs =
     options.firstTokenObjectiveMs *
-    MAX_OBJECTIVES[request.priority] *
+    OBJECTIVE_MULTIPLES[request.priority] *
     OBJECTIVE_SHARE;
   const untilDeadlineMs = request.deadlineAt - Date.now();
   const maxWaitMs =
--- a/packages/routing/src/engine_chain.ts
+++ b/packages/routing/src/engine_chain.ts
@@ -4,8 +4,8 @@
 import { arePartners, type GroupPosition } from "./engine_partners.ts";
 
 /**
- * Extra cost of two adjacent stages that are not partners. It is more than
- * small differences in load, but less than that of a much fuller engine.
+ * Extra cost of two adjacent stages that are not partners. It outweighs small
+ * differences in load, but not the higher cost of a much fuller engine.
  */
 const NON_PARTNER_COST = 0.3;
 
@@ -38,36 +38,38 @@
   candidates: readonly Candidate[],
   layers: number,
 ): Chain {
-  const endsAt = new Map<number, PartialChain[]>();
+  const chainsByEnd = new Map<number, PartialChain[]>();
   const ordered = [...candidates].sort((a, b) => a.layers.from - b.layers.from);
   for (const candidate of ordered) {
-    const chain = extend(candidate, endsAt);
+    const chain = extend(candidate, chainsByEnd);
     if (!chain) continue;
     const { to } = candidate.layers;
-    const sameEnd = endsAt.get(to);
+    const sameEnd = chainsByEnd.get(to);
     if (sameEnd) sameEnd.push(chain);
-    else endsAt.set(to, [chain]);
+    else chainsByEnd.set(to, [chain]);
   }
-  const best = cheapest(endsAt.get(layers) ?? []);
+  const best = cheapest(chainsByEnd.get(layers) ?? []);
   if (best) return { kind: "found", candidates: candidatesOf(best) };
-  return { kind: "none", reachedLayer: Math.max(0, ...endsAt.keys()) };
+  return { kind: "none", reachedLayer: Math.max(0, ...chainsByEnd.keys()) };
 }
 
 function extend(
   last: Candidate,
-  endsAt: ReadonlyMap<number, readonly PartialChain[]>,
+  chainsByEnd: ReadonlyMap<number, readonly PartialChain[]>,
 ): PartialChain | null {
   const { from } = last.layers;
   if (from === 0) return { last, previous: null, cost: last.cost };
-  const extended = (endsAt.get(from) ?? []).map((previous) => {
-    const crossing = arePartners(previous.last, last) ? 0 : NON_PARTNER_COST;
-    return { last, previous, cost: previous.cost + last.cost + crossing };
+  const extended = (chainsByEnd.get(from) ?? []).map((previous) => {
+    const crossingCost = arePartners(previous.last, last)
+      ? 0
+      : NON_PARTNER_COST;
+    return { last, previous, cost: previous.cost + last.cost + crossingCost };
   });
   return cheapest(extended);
 }
 
-function cheapest(ends: readonly PartialChain[]): PartialChain | null {
-  return ends.reduce<PartialChain | null>(
+function cheapest(chains: readonly PartialChain[]): PartialChain | null {
+  return chains.reduce<PartialChain | null>(
     (best, next) => (best && best.cost <= next.cost ? best : next),
     null,
   );
@@ -75,8 +77,8 @@
 
 function candidatesOf(end: PartialChain): Candidate[] {
   const chain: Candidate[] = [];
-  for (let at: PartialChain | null = end; at; at = at.previous) {
-    chain.unshift(at.last);
+  for (let link: PartialChain | null = end; link; link = link.previous) {
+    chain.unshift(link.last);
   }
   return chain;
 }
--- a/packages/routing/src/engine_partners_test.ts
+++ b/packages/routing/src/engine_partners_test.ts
@@ -22,9 +22,9 @@
 
 /** Lists the partners between the layer ranges that start at 0 and at 4. */
 function partnersOf(holders: readonly ReturnType<typeof holder>[]): string[] {
-  const placed = assignGroupPositions(holders);
-  const firsts = placed.filter(({ layers }) => layers.from === 0);
-  const seconds = placed.filter(({ layers }) => layers.from === 4);
+  const positioned = assignGroupPositions(holders);
+  const firsts = positioned.filter(({ layers }) => layers.from === 0);
+  const seconds = positioned.filter(({ layers }) => layers.from === 4);
   return firsts.flatMap((first) =>
     seconds
       .filter((second) => arePartners(first, second))
--- a/packages/routing/src/engine_window.ts
+++ b/packages/routing/src/engine_window.ts
@@ -25,6 +25,7 @@
 const TARGET_SHARE = 0.73;
 /** Quantile of the gaps that is taken as the engine's pace. */
 const PACE_QUANTILE = 0.25;
+/** Step of the quantile estimate, as a share of the pace. */
 const QUANTILE_STEP_SHARE = 0.04;
 
 /** Concurrency window of one engine. */
--- a/packages/routing/src/engine_window_test.ts
+++ b/packages/routing/src/engine_window_test.ts
@@ -10,7 +10,7 @@
 }
 
 /** Uses the whole window, next to `others` answers, for some rounds. */
-function run(
+function simulateRounds(
   window: EngineWindow,
   options: { readonly rounds: number; readonly others?: number },
 ): void {
@@ -30,7 +30,7 @@
 describe("engine window", () => {
   it("stops growing when the pace nears the objective", () => {
     const window = createWindow();
-    run(window, { rounds: 400 });
+    simulateRounds(window, { rounds: 400 });
     const gapMs = gapAt(window.size());
     expect(gapMs).toBeGreaterThan(MIN_GAP_MS);
     expect(gapMs).toBeLessThan(79);
@@ -41,7 +41,7 @@
     // windows immediately, it would be the slowest engine of all.
     const window = createWindow();
     expect(window.size()).toBe(4);
-    run(window, { rounds: 400 });
+    simulateRounds(window, { rounds: 400 });
     window.reset();
     expect(window.size()).toBe(4);
   });
@@ -50,20 +50,20 @@
     // Another instance starts to use the engine without notification; the
     // only sign of it is the longer time between tokens.
     const window = createWindow();
-    run(window, { rounds: 400 });
+    simulateRounds(window, { rounds: 400 });
     const alone = window.size();
-    run(window, { rounds: 400, others: alone });
+    simulateRounds(window, { rounds: 400, others: alone });
     expect(window.size()).toBeLessThan(alone * 0.7);
   });
 
   it("converges to about the size of another instance's window", () => {
     const first = createWindow();
     const second = createWindow();
-    run(first, { rounds: 300 });
+    simulateRounds(first, { rounds: 300 });
     for (let round = 0; round < 3_000; round++) {
       const sizes = [first.size(), second.size()];
-      run(first, { rounds: 1, others: sizes[1] ?? 0 });
-      run(second, { rounds: 1, others: sizes[0] ?? 0 });
+      simulateRounds(first, { rounds: 1, others: sizes[1] ?? 0 });
+      simulateRounds(second, { rounds: 1, others: sizes[0] ?? 0 });
     }
     const ratio = first.size() / second.size();
     expect(ratio).toBeGreaterThan(0.6);
@@ -86,11 +86,11 @@
     expect(window.size()).toBeGreaterThanOrEqual(1);
   });
 
-  it("is not shrunk by the slow partners of a healthy engine", () => {
+  it("does not shrink when only other engines of its pipelines are slow", () => {
     // Half of the pipelines through the engine include an overloaded engine at
     // a later stage. Their pace must not shrink the healthy engine's window.
     const window = createWindow();
-    run(window, { rounds: 20 });
+    simulateRounds(window, { rounds: 20 });
     const before = window.size();
     for (let token = 0; token < 200; token++) {
       window.observe(token % 2 === 0 ? 40 : 200, { inFlight: 1 });
--- a/packages/routing/src/fair_queue.ts
+++ b/packages/routing/src/fair_queue.ts
@@ -136,10 +136,10 @@
       const finishTag = startTag + attributes.cost / attributes.weight;
       state.finishTags.set(attributes.organisation, finishTag);
       const ticket = { item, attributes, startTag };
-      const later = state.tickets.findIndex(
+      const laterIndex = state.tickets.findIndex(
         (queued) => queued.startTag > startTag,
       );
-      const index = later < 0 ? state.tickets.length : later;
+      const index = laterIndex < 0 ? state.tickets.length : laterIndex;
       state.tickets.splice(index, 0, ticket);
       return ticket;
     },
--- a/packages/routing/src/router.ts
+++ b/packages/routing/src/router.ts
@@ -64,9 +64,9 @@
 
 /** Grants pipelines to answers. */
 export interface Router {
-  acquire(need: GrantRequest): Promise<GrantResult>;
+  acquire(grantRequest: GrantRequest): Promise<GrantResult>;
   /** Whether usable engines hold all layers, including busy engines. */
-  covers(need: CoverRequest): boolean;
+  covers(coverRequest: CoverRequest): boolean;
   stop(): void;
 }
 
@@ -95,9 +95,9 @@
   let waiting = 0;
   let timer: NodeJS.Timeout | null = null;
 
-  function tryGrant(need: GrantRequest): Grant | Shortage {
-    const { model, adapter } = need.request;
-    const { version, avoid, prefer } = need;
+  function tryGrant(grantRequest: GrantRequest): Grant | Shortage {
+    const { model, adapter } = grantRequest.request;
+    const { version, avoid, prefer } = grantRequest;
     const choice = findPipeline({
       model,
       adapter,
@@ -109,21 +109,21 @@
     return createGrant(choice.stages, queueOf(model));
   }
 
-  function isCovered(need: GrantRequest): boolean {
-    const { model, adapter } = need.request;
-    const { version, avoid } = need;
+  function isCovered(grantRequest: GrantRequest): boolean {
+    const { model, adapter } = grantRequest.request;
+    const { version, avoid } = grantRequest;
     return (
       findPipeline({ model, adapter, version, avoid }).kind !== "uncovered"
     );
   }
 
   function findPipeline(
-    need: CoverRequest & Pick<GrantRequest, "avoid" | "prefer">,
+    requirements: CoverRequest & Pick<GrantRequest, "avoid" | "prefer">,
   ) {
     const engines = fleet.engines();
     windows.update(engines);
     return choosePipeline(engines, {
-      ...need,
+      ...requirements,
       failureDomain: options.failureDomain,
       windowOf: windows.sizeOf,
       random,
@@ -182,9 +182,10 @@
   }
 
   return {
-    acquire: (need) => queueOf(need.request.model).acquire(need),
-    covers: (need) =>
-      findPipeline({ ...need, avoid: new Set() }).kind !== "uncovered",
+    acquire: (grantRequest) =>
+      queueOf(grantRequest.request.model).acquire(grantRequest),
+    covers: (coverRequest) =>
+      findPipeline({ ...coverRequest, avoid: new Set() }).kind !== "uncovered",
     stop,
   };
 }
--- a/packages/routing/src/router_test.ts
+++ b/packages/routing/src/router_test.ts
@@ -35,12 +35,12 @@
     load: 0,
   };
   let inFlight = 0;
-  const health = { usable: true, elsewhere: 0 };
+  const health = { usable: true, inFlightOffset: 0 };
   const engine = (): EngineSnapshot => ({
     settings,
     state,
     usable: health.usable,
-    inFlight: inFlight + health.elsewhere,
+    inFlight: inFlight + health.inFlightOffset,
   });
   const fleet: EngineFleet = {
     engines: () => [engine()],
@@ -137,7 +137,7 @@
   );
 }
 
-describe("admission", () => {
+describe("router", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -173,7 +173,7 @@
     expect(result).toHaveProperty("retryAfterSeconds");
   });
 
-  it("refuses on arrival what the observed rate cannot serve in time", async () => {
+  it("refuses on arrival a request that the observed rate cannot serve in time", async () => {
     // The queue drains at an observed rate. A request whose predicted wait is
     // too long is refused on arrival instead of after a useless wait.
     const { router } = createTestRouter();
@@ -230,16 +230,16 @@
     const granted = await fill(router);
     const controller = new AbortController();
     const aborted = ask(router, { signal: controller.signal });
-    health.elsewhere = -1;
+    health.inFlightOffset = -1;
     controller.abort();
     expect(await kinds([aborted])).toEqual(["refused"]);
-    health.elsewhere = 0;
+    health.inFlightOffset = 0;
     for (const result of granted) release(result);
     const retries = Array.from({ length: 4 }, () => ask(router));
     expect(await kinds(retries)).toEqual(Array(4).fill("granted"));
   });
 
-  it("refuses when no engine holds the layers in time", async () => {
+  it("refuses a request when no engine holds its layers in time", async () => {
     const { router, health } = createTestRouter();
     health.usable = false;
     const pending = ask(router);
@@ -285,9 +285,9 @@
 
   it("reports whether engines hold a version", () => {
     const { router, health } = createTestRouter();
-    const need = { model: "assist", version, adapter: undefined };
-    expect(router.covers(need)).toBe(true);
+    const coverRequest = { model: "assist", version, adapter: undefined };
+    expect(router.covers(coverRequest)).toBe(true);
     health.usable = false;
-    expect(router.covers(need)).toBe(false);
+    expect(router.covers(coverRequest)).toBe(false);
   });
 });
