--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -190,7 +190,7 @@
       id,
       membership,
       peers,
-      home: limitCoordinator,
+      coordinator: limitCoordinator,
     }),
   });
   const levels = createInstanceLevels(settings);
--- a/packages/daemon/src/limit_coordinators.ts
+++ b/packages/daemon/src/limit_coordinators.ts
@@ -17,7 +17,7 @@
   readonly membership: Pick<Membership, "peers">;
   readonly peers: PeerCaller;
   /** Coordinator of the organisations that are assigned to this instance. */
-  readonly home: LimitCoordinator;
+  readonly coordinator: LimitCoordinator;
 }
 
 /** Creates the access to the coordinators of all organisations. */
@@ -42,7 +42,7 @@
       chooseCoordinator(organisation, listLiveIds()),
     isSelf: (coordinator) => coordinator === id,
     async report(coordinator, report) {
-      if (coordinator === id) return options.home.report(report);
+      if (coordinator === id) return options.coordinator.report(report);
       const member = membership
         .peers()
         .find(({ record }) => record.id === coordinator);
--- a/packages/membership/src/datagram_handler.ts
+++ b/packages/membership/src/datagram_handler.ts
@@ -43,7 +43,7 @@
   }
 
   function relay(request: {
-    readonly asker: Address;
+    readonly requester: Address;
     readonly sequence: number;
     readonly target: Address;
   }): void {
@@ -68,11 +68,11 @@
 
   function forwardAnswer(
     { id }: MemberRecord,
-    relayed: { readonly asker: Address; readonly sequence: number },
+    relayed: { readonly requester: Address; readonly sequence: number },
   ): void {
-    const { asker, sequence } = relayed;
+    const { requester, sequence } = relayed;
     const news = table.news(id);
-    send({ method: "ack", sequence, about: id }, asker, news ? [news] : []);
+    send({ method: "ack", sequence, about: id }, requester, news ? [news] : []);
   }
 
   function syncWith(peer: Address): void {
@@ -95,7 +95,7 @@
       }
       case "ping_request": {
         const { sequence, target } = params;
-        return relay({ asker: peer, sequence, target });
+        return relay({ requester: peer, sequence, target });
       }
       case "ack":
         return acknowledge(params.sequence, { record, about: params.about });
--- a/packages/membership/src/dissemination.ts
+++ b/packages/membership/src/dissemination.ts
@@ -23,7 +23,7 @@
 }): Dissemination {
   const { table, budgets } = options;
   /** Sends left and urgency of each changed record, by member id. */
-  const queue = new Map<string, { left: number; urgency: Urgency }>();
+  const queue = new Map<string, { sendsLeft: number; urgency: Urgency }>();
 
   /**
    * Number of times that a record is sent. News that each receiver forwards
@@ -40,7 +40,7 @@
     enqueue(id, urgency) {
       const queued = queue.get(id);
       if (queued?.urgency === "liveness" && urgency !== "liveness") return;
-      queue.set(id, { left: transmissionLimit(urgency), urgency });
+      queue.set(id, { sendsLeft: transmissionLimit(urgency), urgency });
     },
     take() {
       const chosen: MemberNews[] = [];
@@ -55,14 +55,14 @@
         if (!budgets[entry.urgency].take(sized.bytes)) break;
         bytesLeft -= sized.bytes;
         chosen.push(sized.news);
-        entry.left -= 1;
-        if (entry.left === 0) queue.delete(id);
+        entry.sendsLeft -= 1;
+        if (entry.sendsLeft === 0) queue.delete(id);
       }
       return chosen;
     },
   };
 
   function leastSentFirst() {
-    return [...queue].sort(([, a], [, b]) => b.left - a.left);
+    return [...queue].sort(([, a], [, b]) => b.sendsLeft - a.sendsLeft);
   }
 }
--- a/packages/membership/src/relays.ts
+++ b/packages/membership/src/relays.ts
@@ -6,8 +6,8 @@
 const RELAY_TIMEOUT_MS = 1_000;
 
 interface Relay {
-  readonly asker: Address;
-  /** Sequence number that the asker gave the probe. */
+  readonly requester: Address;
+  /** Sequence number that the requester gave the probe. */
   readonly sequence: number;
   readonly startedAt: number;
 }
@@ -27,7 +27,7 @@
     /** Adds a relayed probe; returns `false` if the limit is reached. */
     add(
       ownSequence: number,
-      relay: { readonly asker: Address; readonly sequence: number },
+      relay: { readonly requester: Address; readonly sequence: number },
     ): boolean {
       dropExpired();
       if (relays.size >= MAX_RELAYS) return false;
