--- a/packages/daemon/src/limit_coordinators.ts
+++ b/packages/daemon/src/limit_coordinators.ts
@@ -9,7 +9,7 @@
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
 
 const METHOD = "limits.report";
-/** Validity of the list of live instances, of which a fleet has hundreds. */
+/** Time until the list of live instances, often hundreds, is rebuilt. */
 const LIVE_IDS_TTL_MS = 1_000;
 
 export interface LimitCoordinatorsOptions {
@@ -20,7 +20,7 @@
   readonly coordinator: LimitCoordinator;
 }
 
-/** Creates the access to the coordinators of all organisations. */
+/** Creates the client that locates coordinators and reports to them. */
 export function createLimitCoordinators(
   options: LimitCoordinatorsOptions,
 ): LimitCoordinators {
