--- a/packages/membership/src/dissemination.ts
+++ b/packages/membership/src/dissemination.ts
@@ -3,7 +3,7 @@
 import type { ByteBudget } from "./byte_budget.ts";
 import type { MemberTable } from "./member_table.ts";
 
-/** Limit for records that a datagram carries in addition to its purpose. */
+/** Maximum size of the records that are piggybacked on one datagram. */
 const MAX_PIGGYBACK_BYTES = 400;
 
 /** Kind of a change, which decides how often its record is sent. */
@@ -12,7 +12,7 @@
 export interface Dissemination {
   /** Queues the record of a member that has changed. */
   enqueue(id: string, urgency: Urgency): void;
-  /** Records for the next datagram, those with most sends left first. */
+  /** Records for the next datagram, those with the most sends left first. */
   take(): MemberNews[];
 }
 
@@ -23,7 +23,7 @@
 }): Dissemination {
   const { table, budgets } = options;
   /** Sends left and urgency of each changed record, by member id. */
-  const queue = new Map<string, { left: number; urgency: Urgency }>();
+  const queue = new Map<string, { sendsLeft: number; urgency: Urgency }>();
 
   /**
    * Number of times that a record is sent. News that each receiver forwards
@@ -40,7 +40,7 @@
     enqueue(id, urgency) {
       const queued = queue.get(id);
       if (queued?.urgency === "liveness" && urgency !== "liveness") return;
-      queue.set(id, { left: transmissionLimit(urgency), urgency });
+      queue.set(id, { sendsLeft: transmissionLimit(urgency), urgency });
     },
     take() {
       const chosen: MemberNews[] = [];
@@ -55,14 +55,14 @@
         if (!budgets[entry.urgency].take(sized.bytes)) break;
         bytesLeft -= sized.bytes;
         chosen.push(sized.news);
-        entry.left -= 1;
-        if (entry.left === 0) queue.delete(id);
+        entry.sendsLeft -= 1;
+        if (entry.sendsLeft === 0) queue.delete(id);
       }
       return chosen;
     },
   };
 
   function leastSentFirst() {
-    return [...queue].sort(([, a], [, b]) => b.left - a.left);
+    return [...queue].sort(([, a], [, b]) => b.sendsLeft - a.sendsLeft);
   }
 }
