--- a/packages/schemas/src/admin.ts
+++ b/packages/schemas/src/admin.ts
@@ -1,13 +1,13 @@
-/** The administration API, which the command line speaks. */
+/** The administration API, which the command line uses. */
 import { z } from "zod";
 import { noteRecordSchema } from "./catalogue.ts";
 import { nameSchema, noteNumberSchema } from "./names.ts";
 
-/** How far a note has come. */
+/** How far the rollout of a note has progressed. */
 export const notePhaseSchema = z.enum(["recorded", "accepted", "in_force"]);
 export type NotePhase = z.infer<typeof notePhaseSchema>;
 
-/** Status of one note, with what is still missing, by name. */
+/** Rollout status of one note, for each instance and engine. */
 export const noteStatusSchema = z.object({
   number: noteNumberSchema,
   phase: notePhaseSchema,
@@ -31,24 +31,24 @@
 });
 export type NoteStatus = z.infer<typeof noteStatusSchema>;
 
-/** Answer to a publish. */
+/** Response to a publish request. */
 export const publishAnswerSchema = z.object({
   number: noteNumberSchema,
   phase: notePhaseSchema,
-  /** Whether an earlier try with the same publish id had recorded it. */
+  /** Whether an earlier request with the same publish id recorded the note. */
   repeated: z.boolean(),
 });
 export type PublishAnswer = z.infer<typeof publishAnswerSchema>;
 
-/** The list of notes, newest first. */
+/** Recorded notes, newest first. */
 export const historySchema = z.object({ notes: z.array(noteRecordSchema) });
 
-/** A line of a note, whatever it tells of. */
+/** An entry of a note's list, of any kind. */
 const shownLineSchema = z.record(z.string(), z.unknown());
 
 /**
- * A note as it is shown, from either source: one that operators published
- * here, or a configuration of the platform told as a note.
+ * A note as it is displayed, from either source: published by operators here,
+ * or converted from a configuration of the platform.
  */
 export const shownNoteSchema = z.looseObject({
   number: noteNumberSchema,
@@ -65,7 +65,7 @@
 });
 export type ShownNote = z.infer<typeof shownNoteSchema>;
 
-/** Notes as they are shown, newest first. */
+/** Notes as they are displayed, newest first. */
 export const shownHistorySchema = z.object({
   notes: z.array(shownNoteSchema),
 });
@@ -78,7 +78,7 @@
   note: noteNumberSchema,
   draining: z.boolean(),
   load: z.number(),
-  /** Milliseconds since the instance was last heard. */
+  /** Time since the last message from the instance, in milliseconds. */
   heardAgoMs: z.number(),
 });
 export type InstanceView = z.infer<typeof instanceViewSchema>;
@@ -109,17 +109,17 @@
 });
 export type Status = z.infer<typeof statusSchema>;
 
-/** Where a decision stands: a line of a recorded note. */
+/** The entry of a recorded note that decides something. */
 export const noteLineReferenceSchema = z.object({
   /** Number of the note. */
   number: noteNumberSchema,
-  /** Place in the note, such as `withdrawn[0]`. */
+  /** Path of the entry in the note, such as `withdrawn[0]`. */
   line: z.string(),
   reason: z.string(),
 });
 export type NoteLineReference = z.infer<typeof noteLineReferenceSchema>;
 
-/** Why a model or service is answered or not, as one instance sees it. */
+/** Why one instance does or does not serve a model or service. */
 export const explainSchema = z.object({
   /** The note that the answering instance applies; 0 for none. */
   number: noteNumberSchema,
@@ -131,13 +131,13 @@
   verdict: z.enum(["answered", "withdrawn", "unknown", "no_note"]),
   /** The version that answers new requests. */
   version: nameSchema.optional(),
-  /** The line that decides; absent for what no note names. */
+  /** The deciding entry; absent if no note names the model or service. */
   decidedBy: noteLineReferenceSchema.optional(),
   message: z.string(),
 });
 export type Explain = z.infer<typeof explainSchema>;
 
-/** One thing that two notes treat differently. */
+/** One difference between the catalogues of two notes. */
 export const noteChangeSchema = z.object({
   kind: z.enum(["version", "adapter", "service", "serve"]),
   model: nameSchema.optional(),
@@ -149,7 +149,7 @@
 });
 export type NoteChange = z.infer<typeof noteChangeSchema>;
 
-/** What changes between the state of one note and that of another. */
+/** Differences between the catalogues of two notes. */
 export const noteDiffSchema = z.object({
   from: noteNumberSchema,
   to: noteNumberSchema,
@@ -157,10 +157,10 @@
 });
 export type NoteDiff = z.infer<typeof noteDiffSchema>;
 
-/** Whether a note could be published now; nothing is recorded. */
+/** Result of a dry run of publishing a note; nothing is recorded. */
 export const noteCheckSchema = z.object({
   valid: z.boolean(),
-  /** The note in use that the check was made against. */
+  /** Number of the note in use that the check compared with. */
   against: noteNumberSchema,
   problems: z.array(z.object({ line: z.string(), message: z.string() })),
   /** What the note would change; empty if it is not valid. */
--- a/packages/schemas/src/catalogue.ts
+++ b/packages/schemas/src/catalogue.ts
@@ -1,4 +1,4 @@
-/** The whole state that a chain of release notes adds up to. */
+/** The catalogue: the state that results from all release notes in order. */
 import { z } from "zod";
 import { nameSchema, noteNumberSchema } from "./names.ts";
 import {
@@ -26,8 +26,9 @@
 export type Model = z.infer<typeof modelSchema>;
 
 /**
- * A withdrawal is kept for good, so that nothing withdrawn comes back: the
- * newest in the catalogue, older ones as an object each in the store.
+ * A withdrawal. Withdrawals are never deleted, so that nothing withdrawn can be
+ * added later: the catalogue has the newest ones, and the store keeps each
+ * older one as an object.
  */
 export const withdrawalSchema = z.object({
   line: withdrawnLineSchema,
@@ -40,14 +41,14 @@
   models: z.record(nameSchema, modelSchema),
   services: z.array(nameSchema),
   /**
-   * The newest withdrawals, the oldest of them first; in the history, those of
-   * the note itself.
+   * The newest withdrawals, oldest first. A record in the history has only the
+   * withdrawals of its own note.
    */
   withdrawn: z.array(withdrawalSchema),
 });
 export type Catalogue = z.infer<typeof catalogueSchema>;
 
-/** A note with its number and the whole state it leads to. */
+/** A note with its number and the catalogue that results from it. */
 export const noteRecordSchema = z.object({
   number: noteNumberSchema,
   note: releaseNoteSchema,
@@ -59,7 +60,7 @@
 });
 export type NoteRecord = z.infer<typeof noteRecordSchema>;
 
-/** The catalogue before the first note: nothing is allowed. */
+/** The catalogue before the first note: nothing is served. */
 export const emptyCatalogue: Catalogue = {
   models: {},
   services: [],
--- a/packages/schemas/src/completion.ts
+++ b/packages/schemas/src/completion.ts
@@ -1,4 +1,4 @@
-/** The callers' interface: OpenAI-style completions. */
+/** The API for callers: completions in the style of OpenAI. */
 import { z } from "zod";
 import { nameSchema } from "./names.ts";
 
@@ -9,13 +9,13 @@
 
 const commonShape = {
   model: nameSchema,
-  /** Name of an adapter that the note allows for the model. */
+  /** Name of an adapter that the catalogue lists for the model. */
   adapter: nameSchema.optional(),
   stream: z.boolean().default(false),
   max_tokens: z.number().int().min(1).max(4096).default(128),
 };
 
-/** Most messages in one request. */
+/** Maximum number of messages in one request. */
 export const LARGEST_MESSAGE_COUNT = 256;
 
 export const chatRequestSchema = z.object({
@@ -30,15 +30,15 @@
 });
 export type CompletionRequest = z.infer<typeof completionRequestSchema>;
 
-/** Priority classes, the most urgent first. */
+/** Priority classes in order of urgency. */
 export const prioritySchema = z.enum(["interactive", "standard", "batch"]);
 export type Priority = z.infer<typeof prioritySchema>;
 
-/** An answer request in the form the rest of the daemon uses. */
+/** A request for an answer, in the form that the daemon uses internally. */
 export interface AnswerRequest {
   readonly requestId: string;
   readonly organisation: string;
-  /** Share of the organisation relative to others; 1 if left out. */
+  /** Capacity share of the organisation relative to others; 1 if left out. */
   readonly weight?: number | undefined;
   readonly model: string;
   readonly adapter: string | undefined;
@@ -50,11 +50,11 @@
   readonly deadlineAt: number;
 }
 
-/** Facts about an answer that a caller may check. */
+/** How an answer was produced, for callers to verify. */
 export const answerProvenanceSchema = z.object({
   version: z.string(),
   noteNumber: z.number().int(),
-  /** Digest over each layer of each token, in order; see the engine API. */
+  /** Digest over each layer of each token, in order, as engines compute it. */
   digest: z.string(),
   attempts: z.number().int(),
 });
--- a/packages/schemas/src/engine.ts
+++ b/packages/schemas/src/engine.ts
@@ -1,4 +1,4 @@
-/** The interface of model engines, as the platform offers it. */
+/** The platform's interface of model engines. */
 import { z } from "zod";
 import { prioritySchema } from "./completion.ts";
 import {
@@ -8,15 +8,15 @@
   noteNumberSchema,
 } from "./names.ts";
 
-/** Where a stage finds the KV cache that it has to import. */
+/** The source of a KV cache that a stage has to import. */
 export const cacheSourceSchema = z.object({
   engine: nameSchema,
   address: addressSchema,
-  /** Incarnation of that engine when the cache was there. */
+  /** Incarnation of that engine when it had the cache. */
   incarnation: z.number().int().optional(),
   /**
-   * Longest time of the transfer in milliseconds. A link that is slower than
-   * it was measured to be then costs the answer no more than this.
+   * Timeout of the transfer in milliseconds. It bounds the delay of the answer
+   * when the link is slower than its measured speed.
    */
   withinMs: z.number().int().positive(),
 });
@@ -28,18 +28,19 @@
   address: addressSchema,
   layers: layerRangeSchema,
   /**
-   * The engine's incarnation when the attempt was planned. One that was
-   * restarted since does not know which attempts are over, so it refuses.
+   * The engine's incarnation when the attempt was planned. An engine that has
+   * restarted since then refuses the attempt, because it no longer has the
+   * record of attempts that were superseded.
    */
   incarnation: z.number().int().optional(),
   /**
-   * Positions whose KV cache the engine still has from an earlier attempt
-   * of the same request; left out when it has none.
+   * Number of positions whose KV cache the engine still has from an earlier
+   * attempt of the same request; left out when there are none.
    */
   keptPositions: z.number().int().nonnegative().optional(),
   /**
-   * Set when the kept positions lie on another engine. One whose transfer
-   * fails says `no_cache`.
+   * Set when another engine has the KV cache of the kept positions. If the
+   * transfer fails, the stage is lost with the cause `no_cache`.
    */
   importFrom: cacheSourceSchema.optional(),
 });
@@ -51,14 +52,14 @@
  */
 export const attemptRequestSchema = z.object({
   requestId: z.string(),
-  /** Who may resume the answer. */
+  /** The organisation that may resume the answer. */
   organisation: z.string(),
-  /** Grows by one each time the answer is taken up again. */
+  /** Attempt number; increases by one each time the answer is resumed. */
   attempt: z.number().int().positive(),
   model: nameSchema,
   version: nameSchema,
   adapter: nameSchema.optional(),
-  /** Note under which the version was chosen. */
+  /** Release note under which the version was chosen. */
   noteNumber: noteNumberSchema,
   stages: z.array(stageSchema).min(1),
   promptTokens: z.array(z.string()),
@@ -69,26 +70,26 @@
 });
 export type AttemptRequest = z.infer<typeof attemptRequestSchema>;
 
-/** Body of an engine's refusal: nothing of the attempt ran there. */
+/** Body of an engine's refusal; no part of the attempt ran on the engine. */
 export const attemptRefusalSchema = z.object({
   error: z.string(),
-  /** Whether a later attempt, of any instance, has the answer. */
+  /** Whether a later attempt by any instance took over the answer. */
   takenOver: z.boolean().default(false),
 });
 export type AttemptRefusal = z.infer<typeof attemptRefusalSchema>;
 
-/** Why a stage cannot go on. */
+/** Why a stage cannot continue. */
 export const lostCauseSchema = z.enum([
-  /** The engine does not answer or does not hold the layers. */
+  /** The engine does not respond or does not hold the layers. */
   "unreachable",
-  /** The engine answers, but has no KV cache of the request. */
+  /** The engine responds, but has no KV cache of the request. */
   "no_cache",
 ]);
 export type LostCause = z.infer<typeof lostCauseSchema>;
 
 /** One line of an attempt's event stream. */
 export const engineEventSchema = z.discriminatedUnion("type", [
-  /** The engine took the attempt; from here on, work may run. */
+  /** The engine accepted the attempt; from now on, parts of it may run. */
   z.object({ type: z.literal("started"), attempt: z.number().int() }),
   z.object({
     type: z.literal("token"),
@@ -96,9 +97,9 @@
     /** Index in the answer, from 0. */
     index: z.number().int().nonnegative(),
     text: z.string(),
-    /** Digest over all layers of this token and of what came before it. */
+    /** Digest over all layers of this token and of all previous ones. */
     digest: z.string(),
-    /** On the last token: why the answer ends with it. */
+    /** Only on the last token: why the answer ends. */
     ends: z.enum(["stop", "length"]).optional(),
   }),
   z.object({
@@ -112,10 +113,10 @@
     attempt: z.number().int(),
     stage: z.number().int(),
     bytes: z.number().nonnegative(),
-    /** From the request to the last byte, in milliseconds. */
+    /** Time from the import request to its last byte, in milliseconds. */
     durationMs: z.number().nonnegative(),
   }),
-  /** A stage cannot go on with the attempt. */
+  /** A stage cannot continue the attempt. */
   z.object({
     type: z.literal("stage_lost"),
     attempt: z.number().int(),
@@ -126,7 +127,7 @@
   z.object({
     type: z.literal("cancelled"),
     attempt: z.number().int(),
-    /** Whether a later attempt, of any instance, took the answer over. */
+    /** Whether a later attempt by any instance took over the answer. */
     takenOver: z.boolean(),
     reason: z.string(),
   }),
@@ -134,45 +135,45 @@
 export type EngineEvent = z.infer<typeof engineEventSchema>;
 
 /**
- * An answer whose reader went away: the engine of the first stage keeps it
- * for a short time, so that any instance can take it over.
+ * An answer whose reader disconnected. The engine of the first stage keeps it
+ * for a short time, so that any instance can resume it.
  */
 export const parkedAnswerSchema = z.object({
   request: attemptRequestSchema,
-  /** All tokens that the engine knows of, from index 0. */
+  /** All tokens of the answer that the engine has, from index 0. */
   tokens: z.array(z.string()),
-  /** Digest after the last of them. */
+  /** Digest after the last token. */
   digest: z.string(),
-  /** How the answer ended, if all of it was computed. */
+  /** Why the answer ended; `null` if it was not fully computed. */
   ended: z.enum(["stop", "length"]).nullable(),
 });
 export type ParkedAnswer = z.infer<typeof parkedAnswerSchema>;
 
-/** Asks the engine that has a KV cache for it. */
+/** Requests a KV cache from the engine that has it, the exporter. */
 export const cacheRequestSchema = z.object({
   requestId: z.string(),
-  /** The attempt that wants the cache; it ends earlier ones at the exporter. */
+  /** The requesting attempt; earlier ones end at the exporter. */
   attempt: z.number().int().positive(),
   model: nameSchema,
   version: nameSchema,
   adapter: nameSchema.optional(),
   layers: layerRangeSchema,
-  /** Positions that are wanted, from the first one on. */
+  /** Number of requested positions, counted from the first. */
   positions: z.number().int().positive(),
   /** Incarnation of the exporter that has the cache. */
   incarnation: z.number().int().optional(),
 });
 export type CacheRequest = z.infer<typeof cacheRequestSchema>;
 
-/** A KV cache on its way between two engines. */
+/** A KV cache in transfer between two engines. */
 export const exportedCacheSchema = z.object({
-  /** One running value for each layer, for each position. */
+  /** For each position, one accumulated value per layer. */
   cache: z.array(z.array(z.number())),
   /** Digest after each token; only the last stage has them. */
   digests: z.array(z.string()),
   /** Digest after the last emitted token; only the first stage has it. */
   lastDigest: z.string(),
-  /** What the transfer took on the link. */
+  /** Size of the transfer on the link. */
   bytes: z.number().nonnegative(),
 });
 export type ExportedCache = z.infer<typeof exportedCacheSchema>;
@@ -186,11 +187,11 @@
 export type HeldLayers = z.infer<typeof heldLayersSchema>;
 
 /**
- * An order states everything the engine is to hold, never a difference, so
- * that it can be repeated and read back.
+ * An order lists everything that the engine has to hold rather than a
+ * difference, so that it can be repeated and compared with the engine's state.
  */
 export const engineOrderSchema = z.object({
-  /** Engines that check refuse a number lower than the highest they saw. */
+  /** Engines that check fencing refuse numbers below the highest seen. */
   fencingNumber: z.number().int().nonnegative(),
   noteNumber: noteNumberSchema,
   hold: z.array(heldLayersSchema),
@@ -211,23 +212,23 @@
   noteNumber: noteNumberSchema,
   held: z.array(heldLayersSchema),
   adapters: z.array(z.object({ model: nameSchema, adapter: nameSchema })),
-  /** Versions that answers now running on the engine use. */
+  /** Versions in use by running answers, with the number of answers. */
   running: z.array(
     z.object({ model: nameSchema, version: nameSchema, count: z.number() }),
   ),
   leaving: z.boolean(),
-  /** Sequences in the batch or waiting for it. */
+  /** Number of sequences in the batch or waiting for it. */
   load: z.number().int().nonnegative(),
-  /** KV cache of one layer for one position, in bytes. */
+  /** Size of the KV cache of one layer for one position, in bytes. */
   cacheBytes: z.number().positive().optional(),
   /**
-   * Time of one layer for one prompt position in microseconds, as the
-   * engine's latest batches had it; left out until it ran a prompt.
+   * Time of one layer for one prompt position in microseconds, over the
+   * engine's latest batches; left out until the engine has run a prompt.
    */
   promptMicros: z.number().nonnegative().optional(),
   /**
-   * Time of a message to another engine in milliseconds: the least of the
-   * latest ones, so that a busy receiver does not make a link look slow.
+   * Time of a message to another engine in milliseconds: the minimum of the
+   * latest messages, so that a busy receiver does not make a link look slow.
    */
   sendMs: z.number().nonnegative().optional(),
 });
--- a/packages/schemas/src/mod.ts
+++ b/packages/schemas/src/mod.ts
@@ -1,4 +1,4 @@
-/** Schemas of everything that crosses a boundary; all types come from them. */
+/** Schemas of all data that enters or leaves a process, and their types. */
 export * from "./admin.ts";
 export * from "./catalogue.ts";
 export * from "./completion.ts";
--- a/packages/schemas/src/names.ts
+++ b/packages/schemas/src/names.ts
@@ -1,7 +1,7 @@
-/** Names and small scalars that several schemas share. */
+/** Names, numbers and addresses that several schemas share. */
 import { z } from "zod";
 
-/** A name that is safe in paths, header values, log values and metric labels. */
+/** A name that is safe in paths, header values, logs and metric labels. */
 export const nameSchema = z
   .string()
   .regex(
@@ -9,25 +9,25 @@
     "expected a name of 1 to 63 letters, digits, '.', '_' or '-'",
   )
   .refine(
-    // Names are keys of plain objects, such as a catalogue's models. There,
-    // `constructor` would find what every object inherits: a request for such
-    // a model broke inside, and a note that added one would have changed
-    // `Object` itself. A name that no object inherits cannot be mistaken.
+    // Names are keys of plain objects, such as a catalogue's models. A lookup
+    // of `constructor` there returns the inherited property: a request for such
+    // a model would fail with an internal error, and a note that adds one would
+    // modify `Object` itself. So inherited property names are refused.
     (name) => !(name in Object.prototype),
     "expected a name that no object inherits, such as 'constructor'",
   );
 
-/** Number of a release note: 1 for the first, then one more each time. */
+/** Number of a release note: 1 for the first, then consecutive; 0 for none. */
 export const noteNumberSchema = z.number().int().nonnegative();
 
-/** Host and port of a listener or of a remote process, by IP number. */
+/** IP address and port of a listener or of a remote process. */
 export const addressSchema = z.object({
   host: z.union([z.ipv4(), z.ipv6()]),
   port: z.number().int().min(1).max(65_535),
 });
 export type Address = z.infer<typeof addressSchema>;
 
-/** An address as the authority part of a URL. */
+/** Formats an address as the authority part of a URL. */
 export function formatAddress(address: Address): string {
   const host = address.host.includes(":") ? `[${address.host}]` : address.host;
   return `${host}:${address.port}`;
--- a/packages/schemas/src/note_exchange.ts
+++ b/packages/schemas/src/note_exchange.ts
@@ -1,9 +1,9 @@
-/** What instances ask each other about release notes. */
+/** Messages between instances about release notes. */
 import { z } from "zod";
 import { noteRecordSchema } from "./catalogue.ts";
 import { addressSchema, nameSchema, noteNumberSchema } from "./names.ts";
 
-/** One process of an instance, and where to ask it. */
+/** One process of an instance, and the address at which peers reach it. */
 export const instanceReferenceSchema = z.object({
   id: nameSchema,
   failureDomain: nameSchema,
@@ -15,20 +15,20 @@
 
 /** Parameters of `note.current`. */
 export const noteRequestSchema = z.object({
-  /** The asker: whoever answers knows from now on that it exists. */
+  /** The sender; the receiver remembers that this instance exists. */
   from: instanceReferenceSchema,
-  /** The record is sent only if its number is higher. */
+  /** The reply has the record only if its number is higher than this. */
   above: noteNumberSchema,
 });
 export type NoteRequest = z.infer<typeof noteRequestSchema>;
 
-/** Answer to `note.current`. */
+/** Reply to `note.current`. */
 export const noteReplySchema = z.object({
   number: noteNumberSchema,
   record: noteRecordSchema.nullable(),
   /**
-   * Age of the read of the head object that shows `number` to have been the
-   * newest note; `null` when there was none yet.
+   * Age of the read of the head object which showed that `number` was the
+   * newest note, in milliseconds; `null` if there was no such read yet.
    */
   contactAgeMs: z.number().nonnegative().nullable(),
 });
@@ -36,29 +36,29 @@
 
 /** Parameters of `note.confirm`. */
 export const confirmRequestSchema = z.object({
-  /** Digest of the instances that the asker knows. */
+  /** Digest of the instances that the sender has in its list. */
   knownDigest: z.string(),
 });
 export type ConfirmRequest = z.infer<typeof confirmRequestSchema>;
 
-/** An engine that an instance orders. */
+/** Confirmation of an engine, by the instance that sends it orders. */
 export const engineConfirmationSchema = z.object({
   engine: nameSchema,
-  /** The note that the engine was last seen to hold, exactly. */
+  /** Number of the note that the engine was last seen to match exactly. */
   confirmed: noteNumberSchema,
-  /** Nothing listens at the engine's address: it holds nothing. */
+  /** Whether nothing listens at the engine's address, so it holds nothing. */
   stopped: z.boolean(),
 });
 export type EngineConfirmation = z.infer<typeof engineConfirmationSchema>;
 
-/** What one instance confirms about the note that it applies. */
+/** Reply to `note.confirm`: the note that an instance applies. */
 export const noteConfirmationSchema = z.object({
   instance: nameSchema,
   failureDomain: nameSchema,
   incarnation: z.number(),
-  /** Number of the note in use; no answer of what it withdraws goes on. */
+  /** Number of the note in use; answers that it withdraws have ended. */
   applied: noteNumberSchema,
-  /** Instances this one knows; left out where the digests agree. */
+  /** Instances in this one's list; left out when the digests agree. */
   knows: z.array(instanceReferenceSchema).optional(),
   engines: z.array(engineConfirmationSchema),
 });
--- a/packages/schemas/src/outcome.ts
+++ b/packages/schemas/src/outcome.ts
@@ -1,10 +1,10 @@
-/** The four outcomes that a failed call can have, as callers see them. */
+/** The four outcomes of a failed call, as callers see them. */
 import { z } from "zod";
 
 export const outcomeSchema = z.enum([
-  /** Certain: no part of the request ran. */
+  /** Guaranteed: no part of the request ran. */
   "not_run",
-  /** The request ran, or was wrong, and this is its final answer. */
+  /** The request ran or was invalid; the error is final. */
   "failed",
   /** The request may have run; rosemarypin never repeats it. */
   "outcome_unknown",
@@ -17,14 +17,14 @@
 export const failureBodySchema = z.object({
   error: z.object({
     outcome: outcomeSchema,
-    /** A stable word for programs, such as `queue_full`. */
+    /** A stable code for programs, such as `queue_full`. */
     code: z.string(),
-    /** A sentence for people that says what to do next. */
+    /** A message for people that says what to do next. */
     message: z.string(),
     requestId: z.string(),
-    /** When to come back; also sent as the `retry-after` header. */
+    /** Delay before a retry; also sent as the `retry-after` header. */
     retryAfterSeconds: z.number().nonnegative().optional(),
-    /** The release note that decided, when one did. */
+    /** The release note that caused the failure, if any. */
     noteNumber: z.number().int().optional(),
   }),
 });
--- a/packages/schemas/src/peer.ts
+++ b/packages/schemas/src/peer.ts
@@ -1,19 +1,19 @@
-/** What instances tell one another; carried as JSON-RPC 2.0. */
+/** Messages between instances, sent as JSON-RPC 2.0. */
 import { z } from "zod";
 import { addressSchema, nameSchema, noteNumberSchema } from "./names.ts";
 import { claimObjectSchema, claimStateSchema } from "./stored.ts";
 
-/** The small state that each instance shares with its peers. */
+/** The state of an instance that it shares with its peers. */
 export const sharedStateSchema = z.object({
   /** Number of the note that the instance applies; 0 for none. */
   note: noteNumberSchema,
   draining: z.boolean(),
-  /** Answers and calls in progress. */
+  /** Number of answers and calls in progress. */
   load: z.number().int().nonnegative(),
 });
 export type SharedState = z.infer<typeof sharedStateSchema>;
 
-/** One instance as its peers know it. */
+/** The membership record of one instance. */
 export const memberRecordSchema = z.object({
   id: nameSchema,
   failureDomain: nameSchema,
@@ -22,42 +22,42 @@
   incarnation: z.number(),
   /** Grows each time the instance changes its shared state. */
   revision: z.number().int().nonnegative(),
-  /** Set when the instance has said goodbye. */
+  /** Whether the instance announced that it leaves. */
   left: z.boolean(),
   shared: sharedStateSchema,
 });
 export type MemberRecord = z.infer<typeof memberRecordSchema>;
 
-/** Asks the owner of a claim what became of the call. */
+/** Asks the owner of a claim for the outcome of the call. */
 export const claimQuestionSchema = z.object({
   /** Start of the owner's process that made the claim. */
   incarnation: z.number(),
   requestId: z.string(),
-  /** How long to wait for the end of a call that still runs. */
+  /** How long to wait for the end of a running call, in milliseconds. */
   waitMs: z.number().nonnegative(),
 });
 export type ClaimQuestion = z.infer<typeof claimQuestionSchema>;
 
-/** What the owner of a claim knows of the call. */
+/** The state of a call, as the owner of its claim reports it. */
 export const claimWordSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("running") }),
-  /** The call was not sent, and never will be under this claim. */
+  /** The call was not sent and will not be sent under this claim. */
   z.object({ kind: z.literal("never_sent") }),
   z.object({ kind: z.literal("settled"), state: claimStateSchema }),
-  /** Another process made the claim, or it was too long ago. */
+  /** No entry: another process made the claim, or the entry was dropped. */
   z.object({ kind: z.literal("forgotten") }),
 ]);
 export type ClaimWord = z.infer<typeof claimWordSchema>;
 
 /**
- * What became of a call, for another instance to record: the one that owns
- * the claim stops before the store takes it.
+ * The outcome of a call that a stopping owner of a claim hands over to another
+ * instance, because the store has not accepted the write of it.
  */
 export const claimEndSchema = z.object({
   /** Key of the claim in the object API. */
   key: z.string(),
   object: claimObjectSchema,
-  /** Version of the claim that the end replaces. */
+  /** Version of the stored claim that the outcome replaces. */
   version: z.number(),
   state: claimStateSchema,
 });
--- a/packages/schemas/src/peer_datagram.ts
+++ b/packages/schemas/src/peer_datagram.ts
@@ -3,19 +3,23 @@
 import { addressSchema, nameSchema, noteNumberSchema } from "./names.ts";
 import type { MemberRecord } from "./peer.ts";
 
-/** What instances tell one another about a third; the later one prevails. */
+/**
+ * Statuses of an instance in datagrams, sent as their index. Between two reports
+ * of the same revision, the later status in this list prevails.
+ */
 export const memberStatuses = ["alive", "suspect", "dead", "left"] as const;
 export type MemberStatus = (typeof memberStatuses)[number];
 
-/** A record together with what the sender believes of its instance. */
+/** A membership record with the status that the sender sees. */
 export interface MemberNews {
   readonly record: MemberRecord;
   readonly status: MemberStatus;
 }
 
 /**
- * A record on the wire: an array, since field names would double its size.
- * Id, domain, host, port, incarnation, revision, status, note, draining, load.
+ * A membership record on the wire, an array because field names would double
+ * its size. Elements: id, failure domain, host, port, incarnation, revision,
+ * status, note, draining, load.
  */
 const memberTupleSchema = z.tuple([
   nameSchema,
@@ -37,13 +41,13 @@
 
 const memberNewsSchema = memberTupleSchema.transform(fromTuple);
 
-/** What every datagram carries. */
+/** Parameters that every datagram has. */
 const commonShape = {
-  /** The sender's own record. */
+  /** The sender's record of itself. */
   from: memberNewsSchema,
-  /** Hash of the sender's whole table, to find out that tables differ. */
+  /** Hash of the sender's whole member table, to detect that tables differ. */
   hash: z.number().int(),
-  /** Records that changed lately, as many as the datagram holds. */
+  /** Recently changed records, as many as fit into the datagram. */
   news: z.array(memberNewsSchema),
 };
 
@@ -57,28 +61,28 @@
     params: z.object({ ...commonShape, ...shape }),
   });
 
-/** Every datagram, told apart by its method. */
+/** All datagrams, distinguished by their method. */
 export const peerDatagramSchema = z.discriminatedUnion("method", [
   /** Asks for an `ack` with the same sequence number. */
   notification("ping", { sequence: z.number().int() }),
-  /** `about` names the instance that answered when a third one passes it on. */
+  /** An `ack` relayed by a third instance names its origin in `about`. */
   notification("ack", {
     sequence: z.number().int(),
     about: nameSchema.optional(),
   }),
-  /** Asks the receiver to ping `target` and to pass its `ack` on. */
+  /** Asks the receiver to ping `target` and to relay its `ack`. */
   notification("ping_request", {
     sequence: z.number().int(),
     target: addressSchema,
   }),
-  /** Only the common part: something that has to spread at once. */
+  /** Only the common parameters, sent when news must spread immediately. */
   notification("news", {}),
   /** Asks for the records of each bucket whose hash differs. */
   notification("sync", { digests: z.string().max(512) }),
 ]);
 export type PeerDatagram = z.infer<typeof peerDatagramSchema>;
 
-/** The wire form of a record. */
+/** Encodes a record for the wire. */
 export function toTuple({ record, status }: MemberNews): MemberTuple {
   const { shared } = record;
   return [
--- a/packages/schemas/src/placement_settings.ts
+++ b/packages/schemas/src/placement_settings.ts
@@ -6,7 +6,7 @@
   name: nameSchema,
   /** Memory for weights, adapters and KV caches, in megabytes. */
   memoryMegabytes: z.number().positive(),
-  /** Time of a full batch whatever its layers, in milliseconds. */
+  /** Fixed time of a full batch, without its layers, in milliseconds. */
   batchMs: z.number().nonnegative(),
   /** Time that one layer of cost 1 adds to a full batch, in milliseconds. */
   layerMs: z.number().positive(),
@@ -17,20 +17,20 @@
   model: nameSchema,
   /** Weights of one layer of one version, in megabytes. */
   layerMegabytes: z.number().positive(),
-  /** Room that is kept for KV caches with each layer, in megabytes. */
+  /** Memory reserved for KV caches with each layer, in megabytes. */
   kvMegabytes: z.number().nonnegative(),
   /** Memory of one adapter on each engine of the model, in megabytes. */
   adapterMegabytes: z.number().nonnegative().default(0),
-  /** Time of a layer relative to one of cost 1. */
+  /** Time of a layer relative to a layer of cost 1. */
   layerCost: z.number().positive().default(1),
-  /** Versions for whose weights room is kept side by side. */
+  /** Number of versions whose weights must fit in memory together. */
   versionsAtOnce: z.number().int().min(1).max(4).default(2),
   /** Share of the tokens relative to other models. */
   weight: z.number().positive().default(1),
 });
 export type PlacedModelSettings = z.infer<typeof placedModelSchema>;
 
-/** Which models are placed automatically, on engines without roles. */
+/** Models that are placed automatically, on engines without roles. */
 export const placementSettingsSchema = z.strictObject({
   accelerators: z.array(acceleratorSchema).default([]),
   models: z.array(placedModelSchema).default([]),
--- a/packages/schemas/src/release_note.ts
+++ b/packages/schemas/src/release_note.ts
@@ -1,4 +1,4 @@
-/** The release note: the operators' only lever. */
+/** Release notes: the only means by which operators change what is served. */
 import { z } from "zod";
 import { nameSchema, noteNumberSchema } from "./names.ts";
 
@@ -16,9 +16,9 @@
   version: nameSchema,
   /** Number of layers of the version. */
   layers: z.number().int().min(1).max(1024),
-  /** Layer sets that together cover each layer once. */
+  /** Layer sets that together cover each layer exactly once. */
   layerSets: z.array(layerSetSchema).min(1),
-  /** Whether new requests go to this version before any other. */
+  /** Whether the version is preferred to all others for new requests. */
   serve: z.boolean().default(true),
 });
 
@@ -33,7 +33,7 @@
   service: nameSchema,
 });
 
-/** One line of a note's `added` list. */
+/** An entry of a note's `added` list. */
 export const addedLineSchema = z.discriminatedUnion("kind", [
   addedVersionSchema,
   addedAdapterSchema,
@@ -41,16 +41,16 @@
 ]);
 export type AddedLine = z.infer<typeof addedLineSchema>;
 
-/** One line of a note's `changed` list: the order of preferred versions. */
+/** An entry of a note's `changed` list: a model's versions by preference. */
 export const changedLineSchema = z.strictObject({
   kind: z.literal("model"),
   model: nameSchema,
-  /** Versions that answer, the most preferred first. */
+  /** Versions that may answer, in order of preference. */
   serve: z.array(nameSchema).min(1),
 });
 export type ChangedLine = z.infer<typeof changedLineSchema>;
 
-/** One line of a note's `withdrawn` list. */
+/** An entry of a note's `withdrawn` list. */
 export const withdrawnLineSchema = z.discriminatedUnion("kind", [
   z.strictObject({
     kind: z.literal("version"),
@@ -75,7 +75,7 @@
 export const releaseNoteSchema = z.strictObject({
   /** The number of the note that this one replaces; 0 for the first note. */
   supersedes: noteNumberSchema,
-  /** Identifies one attempt to publish, so that a lost reply can be resolved. */
+  /** Identifies one publish, so that a retry after a lost reply is detected. */
   publishId: z.string().min(8).max(64),
   reason: z.string().min(1).max(2000),
   added: z.array(addedLineSchema).default([]),
--- a/packages/schemas/src/service_levels.ts
+++ b/packages/schemas/src/service_levels.ts
@@ -1,12 +1,12 @@
-/** Service levels: what each instance counts, and what a report says. */
+/** Service levels: the event counts of each instance by objective. */
 import { z } from "zod";
 import { nameSchema } from "./names.ts";
 
-/** What can meet its objective or miss it. */
+/** Kinds of events that meet or miss an objective. */
 export const objectiveSchema = z.enum([
-  /** The first token of an answer came in time. */
+  /** The first token of an answer arrived in time. */
   "firstToken",
-  /** A token came in time after the one before. */
+  /** A token arrived in time after the previous one. */
   "betweenTokens",
   /** A booking ended with a known outcome. */
   "booking",
@@ -15,38 +15,38 @@
 ]);
 export type Objective = z.infer<typeof objectiveSchema>;
 
-/** Events of one window, and those of them that missed the objective. */
+/** Number of events in a window, and how many missed the objective. */
 export const eventCountSchema = z.object({
   total: z.number().int().nonnegative(),
   missed: z.number().int().nonnegative(),
 });
 export type EventCount = z.infer<typeof eventCountSchema>;
 
-/** Name of the series that takes in what has none of its own. */
+/** Organisation and name of the series for events without their own series. */
 export const REST = "(rest)";
 
-/** Organisation and name of what belongs to the whole instance. */
+/** Organisation and name of the series of events of the whole instance. */
 export const ALL = "(all)";
 
-/** Counts of one organisation and one model or service. */
+/** Event counts of one organisation and one model or service. */
 export const levelSeriesSchema = z.object({
   objective: objectiveSchema,
-  /** `(rest)` for all that have no series of their own; `(all)` for notes. */
+  /** `(rest)` for organisations without their own series; `(all)` for notes. */
   organisation: z.string(),
-  /** Model or service; `(rest)` or `(all)` likewise. */
+  /** Model or service; `(rest)` or `(all)` as in `organisation`. */
   name: z.string(),
-  /** The last five minutes. */
+  /** Counts of the last five minutes. */
   fast: eventCountSchema,
-  /** The last hour. */
+  /** Counts of the last hour. */
   slow: eventCountSchema,
 });
 export type LevelSeries = z.infer<typeof levelSeriesSchema>;
 
-/** One instance's counts, as `GET /v1/service-levels` gives them. */
+/** Event counts of one instance, as `GET /v1/service-levels` returns them. */
 export const serviceLevelsSchema = z.object({
   instance: nameSchema,
   failureDomain: nameSchema,
-  /** How long the instance has counted, at most the slow window. */
+  /** How long the instance has counted events, up to the slow window. */
   countedSeconds: z.number().nonnegative(),
   /** Target share of each objective. */
   targets: z.record(objectiveSchema, z.number()),
--- a/packages/schemas/src/settings.ts
+++ b/packages/schemas/src/settings.ts
@@ -7,11 +7,11 @@
 
 const addressesSchema = z.strictObject({
   callers: addressSchema,
-  /** Where the instance listens for peers, and speaks to them from. */
+  /** Where the instance listens for peers; also its source address to them. */
   peers: addressSchema,
   /**
-   * Where peers reach the instance, if that is not where it listens: behind
-   * address translation, nobody else can use the address that it binds.
+   * Where peers reach the instance, if that differs from where it listens:
+   * behind address translation, the bound address is unreachable from outside.
    */
   advertisedPeers: addressSchema.optional(),
   admin: addressSchema,
@@ -39,14 +39,14 @@
   /** Share of the capacity relative to other organisations. */
   weight: z.number().positive().default(1),
   priority: prioritySchema.default("standard"),
-  /** No limits when left out. */
+  /** Unlimited when left out. */
   limits: organisationLimitsSchema.optional(),
 });
 export type Organisation = z.infer<typeof organisationSchema>;
 
 /**
- * A kind of work with a priority of its own, such as the drafts that come
- * first this season. A caller names it with the `x-work` header.
+ * A kind of work with its own priority, such as drafts that are urgent in one
+ * season. A caller names it with the `x-work` header.
  */
 const workSchema = z.strictObject({
   name: nameSchema,
@@ -63,9 +63,9 @@
   accelerator: nameSchema,
   /** Whether the engine refuses orders that carry an old fencing number. */
   checksFencing: z.boolean(),
-  /** Time of a message to another engine, in milliseconds. */
+  /** Time that a message to another engine takes, in milliseconds. */
   linkMs: z.number().nonnegative().optional(),
-  /** Fixed layer ranges; without any, placement decides what it holds. */
+  /** Fixed layer ranges; when empty, placement decides the layers. */
   roles: z
     .array(z.strictObject({ model: nameSchema, layers: layerRangeSchema }))
     .default([]),
@@ -89,19 +89,19 @@
         id: nameSchema,
         failureDomain: nameSchema,
         address: addressSchema,
-        /** Set by operators: nothing new goes to the server. */
+        /** Set by operators: the server gets no new calls. */
         leaving: z.boolean().optional(),
       }),
     )
     .min(1),
-  /** Where a server says whether it takes new calls; 200 means yes. */
+  /** Health check of a server; status 200 means that it takes new calls. */
   health: z.strictObject({ path: z.string().startsWith("/") }).optional(),
-  /** Where a call that ran is found by its key, put in place of `{key}`. */
+  /** Where a call that ran is looked up; `{key}` is replaced by its key. */
   lookup: z
     .strictObject({ path: z.string().startsWith("/").includes("{key}") })
     .optional(),
   calls: z.array(callRuleSchema).min(1),
-  /** How long one call may take on a server, in milliseconds. */
+  /** Timeout of one call on a server, in milliseconds. */
   timeoutMs: z.number().int().positive().default(5_000),
 });
 export type ServiceSettings = z.infer<typeof serviceSchema>;
@@ -115,25 +115,25 @@
 export type PeerSettings = z.infer<typeof peerSchema>;
 
 const limitsSchema = z.strictObject({
-  /** Largest request body, in bytes. */
+  /** Maximum size of a request body, in bytes. */
   bodyBytes: z.number().int().positive().default(262_144),
-  /** Largest header block, in bytes. */
+  /** Maximum size of a header block, in bytes. */
   headerBytes: z.number().int().positive().default(16_384),
   /** How long a caller may take to send its headers, in milliseconds. */
   headersTimeoutMs: z.number().int().positive().default(5_000),
   /** How long a caller may take to send a request, in milliseconds. */
   requestTimeoutMs: z.number().int().positive().default(10_000),
-  /** How long a caller may leave its answer unread, in milliseconds. */
+  /** How long a caller may stop reading its answer, in milliseconds. */
   readerStallMs: z.number().int().positive().default(15_000),
-  /** Connections of callers that may be open at once. */
+  /** Maximum number of open caller connections. */
   connections: z.number().int().positive().default(2_000),
-  /** Requests that one connection may have in progress. */
+  /** Maximum number of requests in progress on one connection. */
   requestsPerConnection: z.number().int().positive().default(8),
-  /** Bytes of request bodies that may be in memory at once. */
+  /** Maximum size of all request bodies in memory, in bytes. */
   bodiesBytes: z.number().int().positive().default(33_554_432),
-  /** Requests that may wait for a pipeline. */
+  /** Maximum number of requests that wait for a pipeline. */
   queueLength: z.number().int().positive().default(1_000),
-  /** Answers that one engine may run at once for this instance, at most. */
+  /** Maximum number of concurrent answers of this instance on one engine. */
   answersPerEngine: z.number().int().positive().default(256),
 });
 export type Limits = z.infer<typeof limitsSchema>;
@@ -142,16 +142,16 @@
   firstTokenMs: z.number().positive().default(830),
   betweenTokensMs: z.number().positive().default(79),
   noteInForceMs: z.number().positive().default(5_000),
-  /** Share of bookings that must end with a known outcome. */
+  /** Share of bookings that must end with a known outcome, from 0 to 1. */
   bookingsTarget: z.number().gt(0).lt(1).default(0.999),
-  /** Share of events that must meet their objective, from 0 to 1. */
+  /** Share of all other events that must meet their objective, from 0 to 1. */
   target: z.number().gt(0).lt(1).default(0.95),
 });
 
 const settingsShape = z.strictObject({
   deployment: nameSchema,
   region: nameSchema,
-  /** All failure domains; others are refused when the list is given. */
+  /** All failure domains; when given, a domain outside the list is refused. */
   failureDomains: z.array(nameSchema).min(1).optional(),
   instance: z.strictObject({
     id: nameSchema,
@@ -164,41 +164,44 @@
     objectApi: z.url(),
     instanceList: z.url().optional(),
     weightStore: z.url().optional(),
-    /** Calls a second that this instance may make to the object API. */
+    /** Rate limit of this instance's calls to the object API, per second. */
     callsPerSecond: z.number().positive().default(50),
   }),
-  /** Where to look for other instances at the start; live ones are learned. */
+  /** Seed instances to contact at start; further ones are discovered. */
   peers: z.array(peerSchema).default([]),
   organisations: z.array(organisationSchema).min(1),
-  /** Kinds of work whose priority is not that of the organisation. */
+  /** Kinds of work whose priority overrides that of the organisation. */
   work: z.array(workSchema).default([]),
   engines: z.array(engineSchema).default([]),
   services: z.array(serviceSchema).default([]),
   placement: placementSettingsSchema.prefault({}),
   release: z
     .strictObject({
-      /** How long to serve with no contact to store or peers, in seconds. */
+      /** How long to serve without contact to store or peers, in seconds. */
       serveWithoutContactSeconds: z.number().positive().default(3_600),
       /**
-       * Whether a refused connection shows that an instance has ended. Set to
-       * false where something other than the host itself may refuse, such as
-       * a firewall, or where two hosts may hold one address.
+       * Whether a refused connection proves that an instance has ended. Set to
+       * false where something other than the host may refuse connections, such
+       * as a firewall, or where two hosts may have the same address.
        */
       refusedConnectionShowsEnd: z.boolean().default(true),
     })
     .prefault({}),
-  /** How long a request may take when the caller does not say. */
+  /** Deadline of requests that state none, in milliseconds. */
   defaultDeadlineMs: z.number().int().positive().default(60_000),
-  /** How long a stopping instance still takes what late balancers send. */
+  /**
+   * How long a stopping instance still accepts requests, in milliseconds, since
+   * load balancers notice the drain late.
+   */
   balancerLagMs: z.number().int().nonnegative().default(1_000),
-  /** How long SIGTERM waits for work in progress, in milliseconds. */
+  /** How long SIGTERM waits for requests in progress, in milliseconds. */
   shutdownGraceMs: z.number().int().positive().default(30_000),
   limits: limitsSchema.prefault({}),
   objectives: objectivesSchema.prefault({}),
 });
 export type Settings = z.infer<typeof settingsShape>;
 
-/** The whole settings file of one daemon, with its cross-checks. */
+/** The settings file of one daemon, with the checks between its parts. */
 export const settingsSchema = settingsShape.superRefine((settings, context) => {
   for (const { path, message } of checkSettings(settings)) {
     context.addIssue({ code: "custom", path: [...path], message });
--- a/packages/schemas/src/settings_checks.ts
+++ b/packages/schemas/src/settings_checks.ts
@@ -1,9 +1,9 @@
-/** Checks between parts of the settings that no single schema can see. */
+/** Checks between parts of the settings, which no single schema covers. */
 import { checkPlacement } from "./placement_checks.ts";
 import type { Settings } from "./settings.ts";
-import { findRepeated, type SettingsProblem } from "./settings_problem.ts";
+import { findDuplicates, type SettingsProblem } from "./settings_problem.ts";
 
-/** Finds what does not fit together; the settings are valid by schema. */
+/** Finds inconsistencies in settings that are valid by the schema. */
 export function checkSettings(settings: Settings): readonly SettingsProblem[] {
   return [
     ...checkOrganisations(settings),
@@ -18,41 +18,41 @@
 
 function checkOrganisations(settings: Settings): SettingsProblem[] {
   const { organisations, adminKeySha256 } = settings;
-  const at = (index: number, key: string) => ["organisations", index, key];
-  const admins = organisations.flatMap(({ keySha256 }, index) =>
+  const pathTo = (index: number, key: string) => ["organisations", index, key];
+  const reusedAdminKeys = organisations.flatMap(({ keySha256 }, index) =>
     keySha256 === adminKeySha256
       ? [
           {
-            path: at(index, "keySha256"),
+            path: pathTo(index, "keySha256"),
             message: "expected a key that is not the administrators' key",
           },
         ]
       : [],
   );
   return [
-    ...findRepeated(
+    ...findDuplicates(
       organisations.map(({ name }, index) => ({
-        path: at(index, "name"),
+        path: pathTo(index, "name"),
         value: name,
       })),
       "expected a name that no other organisation has",
     ),
-    ...findRepeated(
+    ...findDuplicates(
       organisations.map(({ keySha256 }, index) => ({
-        path: at(index, "keySha256"),
+        path: pathTo(index, "keySha256"),
         value: keySha256,
       })),
       "expected a key that no other organisation has",
     ),
-    ...admins,
+    ...reusedAdminKeys,
   ];
 }
 
 function checkWork({ work, organisations }: Settings): SettingsProblem[] {
-  const known = new Set(organisations.map(({ name }) => name));
-  const unknown = work.flatMap((kind, index) =>
+  const organisationNames = new Set(organisations.map(({ name }) => name));
+  const unknownOrganisations = work.flatMap((kind, index) =>
     (kind.organisations ?? []).flatMap((name, position) =>
-      known.has(name)
+      organisationNames.has(name)
         ? []
         : [
             {
@@ -62,21 +62,24 @@
           ],
     ),
   );
-  const names = work.map(({ name }, index) => ({
+  const workNames = work.map(({ name }, index) => ({
     path: ["work", index, "name"],
     value: name,
   }));
   return [
-    ...findRepeated(names, "expected a name that no other kind of work has"),
-    ...unknown,
+    ...findDuplicates(
+      workNames,
+      "expected a name that no other kind of work has",
+    ),
+    ...unknownOrganisations,
   ];
 }
 
 function checkFailureDomains(settings: Settings): SettingsProblem[] {
   const { failureDomains, instance, peers, engines, services } = settings;
   if (!failureDomains) return [];
-  const known = new Set(failureDomains);
-  const used = [
+  const declaredDomains = new Set(failureDomains);
+  const usedDomains = [
     { path: ["instance"], failureDomain: instance.failureDomain },
     ...peers.map(({ failureDomain }, index) => ({
       path: ["peers", index],
@@ -86,15 +89,15 @@
       path: ["engines", index],
       failureDomain,
     })),
-    ...services.flatMap(({ servers }, service) =>
+    ...services.flatMap(({ servers }, serviceIndex) =>
       servers.map(({ failureDomain }, index) => ({
-        path: ["services", service, "servers", index],
+        path: ["services", serviceIndex, "servers", index],
         failureDomain,
       })),
     ),
   ];
-  return used
-    .filter(({ failureDomain }) => !known.has(failureDomain))
+  return usedDomains
+    .filter(({ failureDomain }) => !declaredDomains.has(failureDomain))
     .map(({ path, failureDomain }) => ({
       path: [...path, "failureDomain"],
       message: `expected one of failureDomains (${failureDomains.join(", ")}), not '${failureDomain}'`,
@@ -102,14 +105,25 @@
 }
 
 function checkPeers({ instance, peers }: Settings): SettingsProblem[] {
-  const { callers, peers: own, admin, advertisedPeers } = instance.addresses;
-  const ownAddresses = [
+  const {
+    callers,
+    peers: peerListener,
+    admin,
+    advertisedPeers,
+  } = instance.addresses;
+  const instanceAddresses = [
     { path: ["instance", "addresses", "callers"], value: addressKey(callers) },
-    { path: ["instance", "addresses", "peers"], value: addressKey(own) },
+    {
+      path: ["instance", "addresses", "peers"],
+      value: addressKey(peerListener),
+    },
     { path: ["instance", "addresses", "admin"], value: addressKey(admin) },
   ];
-  if (advertisedPeers && addressKey(advertisedPeers) !== addressKey(own)) {
-    ownAddresses.push({
+  if (
+    advertisedPeers &&
+    addressKey(advertisedPeers) !== addressKey(peerListener)
+  ) {
+    instanceAddresses.push({
       path: ["instance", "addresses", "advertisedPeers"],
       value: addressKey(advertisedPeers),
     });
@@ -118,66 +132,71 @@
     path: ["peers", index, "address"],
     value: addressKey(address),
   }));
-  const ids = peers.map(({ id }, index) => ({
+  const peerIds = peers.map(({ id }, index) => ({
     path: ["peers", index, "id"],
     value: id,
   }));
   return [
-    ...findRepeated(
-      [{ path: ["instance", "id"], value: instance.id }, ...ids],
+    ...findDuplicates(
+      [{ path: ["instance", "id"], value: instance.id }, ...peerIds],
       "expected an id that neither this instance nor another peer has",
     ),
-    ...findRepeated(
-      [...ownAddresses, ...peerAddresses],
+    ...findDuplicates(
+      [...instanceAddresses, ...peerAddresses],
       "expected an address that nothing else here has",
     ),
   ];
 }
 
 function checkEngines({ engines }: Settings): SettingsProblem[] {
-  const repeatedRoles = engines.flatMap(({ roles }, index) =>
-    findRepeated(
-      roles.map(({ model }, role) => ({
-        path: ["engines", index, "roles", role, "model"],
+  const duplicateRoles = engines.flatMap(({ roles }, index) =>
+    findDuplicates(
+      roles.map(({ model }, roleIndex) => ({
+        path: ["engines", index, "roles", roleIndex, "model"],
         value: model,
       })),
       "expected one role for each model of an engine",
     ),
   );
   return [
-    ...findRepeated(
+    ...findDuplicates(
       engines.map(({ id }, index) => ({
         path: ["engines", index, "id"],
         value: id,
       })),
       "expected an id that no other engine has",
     ),
-    ...findRepeated(
+    ...findDuplicates(
       engines.map(({ address }, index) => ({
         path: ["engines", index, "address"],
         value: addressKey(address),
       })),
       "expected an address that no other engine has",
     ),
-    ...repeatedRoles,
-    ...findUnreachableRoles(engines),
+    ...duplicateRoles,
+    ...findRolesWithoutPredecessor(engines),
   ];
 }
 
-/** A range that no other range leads up to can be in no pipeline. */
-function findUnreachableRoles(engines: Settings["engines"]): SettingsProblem[] {
-  const ends = new Set(
+/**
+ * Finds roles that no pipeline can include: their layer range starts neither at
+ * 0 nor where another range of the model ends.
+ */
+function findRolesWithoutPredecessor(
+  engines: Settings["engines"],
+): SettingsProblem[] {
+  const rangeEnds = new Set(
     engines.flatMap(({ roles }) =>
       roles.map(({ model, layers }) => `${model}:${layers.to}`),
     ),
   );
   return engines.flatMap(({ roles }, index) =>
-    roles.flatMap(({ model, layers: { from } }, role) =>
-      from === 0 || ends.has(`${model}:${from}`)
+    roles.flatMap(({ model, layers: { from } }, roleIndex) =>
+      from === 0 || rangeEnds.has(`${model}:${from}`)
         ? []
         : [
             {
-              path: ["engines", index, "roles", role, "layers", "from"],
+              path: ["engines", index, "roles", roleIndex, "layers", "from"],
               message: `expected 0, or a layer of '${model}' at which another engine's range ends`,
             },
           ],
@@ -186,29 +205,32 @@
 }
 
 function checkServices({ services }: Settings): SettingsProblem[] {
-  const names = services.map(({ name }, index) => ({
+  const serviceNames = services.map(({ name }, index) => ({
     path: ["services", index, "name"],
     value: name,
   }));
-  const servers = services.flatMap((service, index) =>
-    service.servers.map(({ id }, server) => ({
-      path: ["services", index, "servers", server, "id"],
+  const serverIds = services.flatMap((service, index) =>
+    service.servers.map(({ id }, serverIndex) => ({
+      path: ["services", index, "servers", serverIndex, "id"],
       value: id,
     })),
   );
-  const rules = services.flatMap((service, index) =>
-    findRepeated(
-      service.calls.map(({ method, path }, rule) => ({
-        path: ["services", index, "calls", rule],
+  const duplicateRules = services.flatMap((service, index) =>
+    findDuplicates(
+      service.calls.map(({ method, path }, ruleIndex) => ({
+        path: ["services", index, "calls", ruleIndex],
         value: `${method} ${path}`,
       })),
       "expected one rule for each method and path",
     ),
   );
   return [
-    ...findRepeated(names, "expected a name that no other service has"),
-    ...findRepeated(servers, "expected an id that no other server has"),
-    ...rules,
+    ...findDuplicates(
+      serviceNames,
+      "expected a name that no other service has",
+    ),
+    ...findDuplicates(serverIds, "expected an id that no other server has"),
+    ...duplicateRules,
   ];
 }
 
--- a/packages/schemas/src/settings_file.ts
+++ b/packages/schemas/src/settings_file.ts
@@ -1,4 +1,4 @@
-/** Reads YAML against a schema, with errors that name file, line and key. */
+/** Parses YAML by a schema; errors name the file, the line and the key. */
 import {
   type Document,
   isMap,
@@ -9,10 +9,10 @@
 } from "yaml";
 import type { z } from "zod";
 
-/** One thing wrong with a file. */
+/** One error in a file. */
 export interface FileProblem {
   readonly file: string;
-  /** Line, from 1. */
+  /** Line number, counted from 1. */
   readonly line: number;
   /** Path of the key, such as `engines[2].address.port`. */
   readonly key: string;
@@ -23,7 +23,7 @@
   | { readonly kind: "valid"; readonly value: T }
   | { readonly kind: "invalid"; readonly problems: readonly FileProblem[] };
 
-/** Parses `text` as YAML and checks it; `file` is only for the errors. */
+/** Parses `text` as YAML and validates it; `file` is only used in errors. */
 export function parseYamlFile<S extends z.ZodType>(
   schema: S,
   options: { readonly text: string; readonly file: string },
@@ -40,29 +40,34 @@
     }));
     return { kind: "invalid", problems };
   }
-  const plain = toPlain(document);
-  if (plain.kind === "broken") {
-    const { expected } = plain;
+  const converted = convertToPlainValue(document);
+  if (converted.kind === "broken") {
+    const { expected } = converted;
     const problem = { file, line: 1, key: "(syntax)", expected };
     return { kind: "invalid", problems: [problem] };
   }
-  const parsed = schema.safeParse(plain.value);
+  const parsed = schema.safeParse(converted.value);
   if (parsed.success) return { kind: "valid", value: parsed.data };
-  const problems = parsed.error.issues.flatMap(splitIssue).map((issue) => ({
-    file,
-    line: lineOf(document, issue.path, lineCounter),
-    key: formatKey(issue.path),
-    expected: issue.message,
-  }));
+  const problems = parsed.error.issues
+    .flatMap(splitUnknownKeys)
+    .map((issue) => ({
+      file,
+      line: findLine(document, issue.path, lineCounter),
+      key: formatKey(issue.path),
+      expected: issue.message,
+    }));
   return { kind: "invalid", problems };
 }
 
-type Plain =
+type ConversionResult =
   | { readonly kind: "plain"; readonly value: unknown }
   | { readonly kind: "broken"; readonly expected: string };
 
-/** Aliases that multiply without end throw only when they are resolved. */
-function toPlain(document: Document): Plain {
+/**
+ * Converts a document to a plain value. Unresolved aliases, and aliases that
+ * expand to an excessive size, throw only here rather than in the parser.
+ */
+function convertToPlainValue(document: Document): ConversionResult {
   try {
     return { kind: "plain", value: document.toJS() };
   } catch {
@@ -71,8 +76,8 @@
   }
 }
 
-/** Unknown keys come as one issue of their parent; each has its own line. */
-function splitIssue(issue: z.core.$ZodIssue): readonly {
+/** Splits the single issue for all unknown keys of a parent, one per key. */
+function splitUnknownKeys(issue: z.core.$ZodIssue): readonly {
   readonly path: readonly PropertyKey[];
   readonly message: string;
 }[] {
@@ -81,28 +86,31 @@
   return issue.keys.map((key) => ({ path: [...issue.path, key], message }));
 }
 
-/** One line for people: file, line, key, and what was expected. */
+/** Formats a problem as one line: file, line, key and expected value. */
 export function formatProblem(problem: FileProblem): string {
   const { file, line, key, expected } = problem;
   return `${file}:${line}: ${key}: ${expected}`;
 }
 
-/** The line of a key, or of the nearest parent that the file has. */
-function lineOf(
+/** Finds the line of a key, or of its nearest ancestor in the file. */
+function findLine(
   document: Document,
   path: readonly PropertyKey[],
   lineCounter: LineCounter,
 ): number {
   for (let length = path.length; length > 0; length--) {
-    const node = keyNode(document, path.slice(0, length));
+    const node = findKeyNode(document, path.slice(0, length));
     const start = isNode(node) ? node.range?.[0] : undefined;
     if (start !== undefined) return lineCounter.linePos(start).line;
   }
   return 1;
 }
 
-/** The node of a key itself: its value may begin on a later line. */
-function keyNode(document: Document, path: readonly PropertyKey[]): unknown {
+/** Finds the node of a key, whose value may start on a later line. */
+function findKeyNode(
+  document: Document,
+  path: readonly PropertyKey[],
+): unknown {
   const parent = document.getIn(path.slice(0, -1), true);
   const last = path.at(-1);
   if (!isMap(parent)) return document.getIn(path, true);
--- a/packages/schemas/src/settings_file_test.ts
+++ b/packages/schemas/src/settings_file_test.ts
@@ -7,27 +7,27 @@
   ports: z.array(z.strictObject({ port: z.number() })),
 });
 
-function problemsOf(text: string): string[] {
+function findProblems(text: string): string[] {
   const result = parseYamlFile(schema, { text, file: "a.yaml" });
   return result.kind === "valid" ? [] : result.problems.map(formatProblem);
 }
 
-describe("errors in a settings file", () => {
-  it("name file, line, key and what was expected", () => {
+describe("parsing of a settings file", () => {
+  it("reports the file, line, key and expected value of an error", () => {
     const text = "name: x\nports:\n  - port: 1\n  - port: high\n";
-    expect(problemsOf(text)).toMatchInlineSnapshot(`
+    expect(findProblems(text)).toMatchInlineSnapshot(`
       [
         "a.yaml:4: ports[1].port: Invalid input: expected number, received string",
       ]
     `);
   });
 
-  it("name the line of broken YAML", () => {
-    expect(problemsOf("name: [x\nports: 1\n")[0]).toMatch(/^a\.yaml:\d+: /);
+  it("reports the line of a YAML syntax error", () => {
+    expect(findProblems("name: [x\nports: 1\n")[0]).toMatch(/^a\.yaml:\d+: /);
   });
 
-  it("name an unknown key", () => {
+  it("reports an unknown key by its name", () => {
     const text = "name: x\nports: []\nprots: []\n";
-    expect(problemsOf(text)[0]).toContain("prots");
+    expect(findProblems(text)[0]).toContain("prots");
   });
 });
--- a/packages/schemas/src/settings_problem.ts
+++ b/packages/schemas/src/settings_problem.ts
@@ -1,17 +1,17 @@
-/** What a check between parts of the settings finds. */
+/** Problems that the checks between parts of the settings report. */
 
-/** Keys and indexes that lead to a value of the settings. */
+/** Path of a value in the settings: keys and array indexes. */
 export type SettingsPath = readonly (string | number)[];
 
 /** A part of the settings that does not fit another part. */
 export interface SettingsProblem {
   readonly path: SettingsPath;
-  /** What was expected. */
+  /** The expected value, for operators. */
   readonly message: string;
 }
 
-/** Each value that an earlier entry has already. */
-export function findRepeated(
+/** Reports each entry whose value an earlier entry already has. */
+export function findDuplicates(
   entries: readonly { readonly path: SettingsPath; readonly value: string }[],
   message: string,
 ): SettingsProblem[] {
--- a/packages/schemas/src/stored.ts
+++ b/packages/schemas/src/stored.ts
@@ -4,7 +4,7 @@
 import { nameSchema } from "./names.ts";
 import { instanceReferenceSchema } from "./note_exchange.ts";
 
-/** Keys of stored objects, below the deployment's name. */
+/** Keys of stored objects, prefixed with the name of the deployment. */
 export const storedKeys = {
   head: (deployment: string) => `${deployment}/notes/head`,
   history: (deployment: string, number: number) =>
@@ -21,43 +21,44 @@
     `${deployment}/claims/${service}/${claim}`,
 } as const;
 
-/** The head object: the whole current note, so that one read is enough. */
+/** The head object: the full record of the current note, for a single read. */
 export const headObjectSchema = noteRecordSchema;
 
-/** The right to order the engines of one failure domain. */
+/** The lease that allows its holder to order a failure domain's engines. */
 export const leaseObjectSchema = z.object({
   holder: nameSchema,
-  /** Start of the holder's process, to tell a restart from the old one. */
+  /** Start of the holder's process; distinguishes it from an earlier one. */
   incarnation: z.number(),
-  /** Grows with each change of holder; goes out with each order. */
+  /** Increases with each change of holder; sent with each order. */
   fencingNumber: z.number().int().positive(),
-  /** How long the lease lasts after the renewal was sent, in milliseconds. */
+  /** Validity of the lease from when its renewal was sent, in milliseconds. */
   durationMs: z.number().int().positive(),
-  /** Grows with each renewal, so that others can see it move. */
+  /** Increases with each renewal, so that others detect that it is alive. */
   renewal: z.number().int().nonnegative(),
-  /** Set by a holder that has stopped: nobody needs to wait. */
+  /** Set by a holder that stopped: others need not wait for the expiry. */
   released: z.boolean().default(false),
 });
 export type LeaseObject = z.infer<typeof leaseObjectSchema>;
 
 /**
- * The instances of one failure domain that may have read the head object: each
- * enters itself before the first read that counts.
+ * The instances of one failure domain that may use the head object: each adds
+ * itself before the first read that it relies on.
  */
 export const registryObjectSchema = z.object({
   instances: z.array(
     instanceReferenceSchema.extend({
-      /** How long the instance may serve without contact. */
+      /** How long the instance may serve without contact, in milliseconds. */
       allowanceMs: z.number().positive(),
     }),
   ),
 });
 export type RegistryObject = z.infer<typeof registryObjectSchema>;
 export type RegistryEntry = RegistryObject["instances"][number];
-/** What is known of a non-repeatable call. */
+
+/** State of a non-repeatable call. */
 export const claimStateSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("claimed") }),
-  /** Proved not to have run: the key may be used again. */
+  /** The call provably did not run; its key can be reused. */
   z.object({ kind: z.literal("released") }),
   z.object({
     kind: z.literal("answered"),
@@ -69,19 +70,19 @@
 ]);
 export type ClaimState = z.infer<typeof claimStateSchema>;
 
-/** A non-repeatable call, recorded before its first byte is sent. */
+/** A claim: a non-repeatable call, stored before its first byte is sent. */
 export const claimObjectSchema = z.object({
   requestId: z.string(),
   owner: nameSchema,
   incarnation: z.number(),
-  /** Digest of method, path and body, to tell another call by the same key. */
+  /** Digest of method, path and body; detects another call with this key. */
   fingerprint: z.string(),
   claimedAt: z.number(),
   state: claimStateSchema,
 });
 export type ClaimObject = z.infer<typeof claimObjectSchema>;
 
-/** The platform's list of instances: a hint that lags. */
+/** The platform's list of instances, which may be out of date. */
 export const instanceListSchema = z.object({
   instances: z.array(
     z.object({
