--- a/packages/schemas/src/names.ts
+++ b/packages/schemas/src/names.ts
@@ -14,7 +14,7 @@
     // a model would fail with an internal error, and a note that adds one would
     // modify `Object` itself. So inherited property names are refused.
     (name) => !(name in Object.prototype),
-    "expected a name that no object inherits, such as 'constructor'",
+    "expected a name that is no inherited object property such as 'constructor'",
   );
 
 /** Number of a release note: 1 for the first, then consecutive; 0 for none. */
--- a/packages/schemas/src/placement_checks.ts
+++ b/packages/schemas/src/placement_checks.ts
@@ -20,7 +20,7 @@
     ),
     ...findDuplicates(
       placedModels,
-      "expected a model that is not placed already",
+      "expected a model that no other entry of placement.models has",
     ),
     ...checkEnginesWithoutRoles(settings),
     ...checkRolesOfPlacedModels(settings),
--- a/packages/schemas/src/placement_checks_test.ts
+++ b/packages/schemas/src/placement_checks_test.ts
@@ -75,7 +75,7 @@
       .replace(/( +- \{ model: drafts.*\n)/, "$1$1");
     expect(problemsWith(firstEngineWithoutRoles, withDuplicates)).toEqual([
       "placement.accelerators[1].name: expected a name that no other accelerator has",
-      "placement.models[1].model: expected a model that is not placed already",
+      "placement.models[1].model: expected a model that no other entry of placement.models has",
     ]);
   });
 
--- a/packages/schemas/src/settings.ts
+++ b/packages/schemas/src/settings.ts
@@ -35,7 +35,12 @@
 const organisationSchema = z.strictObject({
   name: nameSchema,
   /** SHA-256 of the organisation's key, in hexadecimal. */
-  keySha256: z.string().regex(/^[0-9a-f]{64}$/, "expected 64 hex digits"),
+  keySha256: z
+    .string()
+    .regex(
+      /^[0-9a-f]{64}$/,
+      "expected a SHA-256 hash of 64 lowercase hex digits",
+    ),
   /** Share of the capacity relative to other organisations. */
   weight: z.number().positive().default(1),
   priority: prioritySchema.default("standard"),
@@ -159,7 +164,12 @@
     addresses: addressesSchema,
   }),
   /** SHA-256 of the administrators' key, in hexadecimal. */
-  adminKeySha256: z.string().regex(/^[0-9a-f]{64}$/, "expected 64 hex digits"),
+  adminKeySha256: z
+    .string()
+    .regex(
+      /^[0-9a-f]{64}$/,
+      "expected a SHA-256 hash of 64 lowercase hex digits",
+    ),
   platform: z.strictObject({
     objectApi: z.url(),
     instanceList: z.url().optional(),
--- a/packages/schemas/src/settings_checks.ts
+++ b/packages/schemas/src/settings_checks.ts
@@ -143,7 +143,7 @@
     ),
     ...findDuplicates(
       [...instanceAddresses, ...peerAddresses],
-      "expected an address that nothing else here has",
+      "expected an address that no other listener or peer has",
     ),
   ];
 }
--- a/packages/schemas/src/settings_file.ts
+++ b/packages/schemas/src/settings_file.ts
@@ -71,7 +71,8 @@
   try {
     return { kind: "plain", value: document.toJS() };
   } catch {
-    const expected = "expected aliases that name an anchor, and few of them";
+    const expected =
+      "expected aliases of existing anchors, within the size limit of aliases";
     return { kind: "broken", expected };
   }
 }
