--- a/packages/calls/src/answer_migration.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -13,7 +13,10 @@
 
 /** Thresholds for migrating an answer. */
 export interface MigrationLimits {
-  /** Minimum expected remaining time or gain for a migration. */
+  /**
+   * Minimum benefit of a migration: the expected remaining time of the answer
+   * for a leaving engine, the expected saved time for a slow one.
+   */
   readonly minBenefitMs: number;
   /** Excess over the typical send time from which a link counts as slow. */
   readonly slowLinkMs: number;
--- a/packages/calls/src/answer_migration_sources.ts
+++ b/packages/calls/src/answer_migration_sources.ts
@@ -9,7 +9,10 @@
   /** Maximum number of tokens to come, and their expected duration. */
   readonly remainingTokens: number;
   readonly remainingMs: number;
-  /** Minimum expected remaining time or gain for a migration. */
+  /**
+   * Minimum benefit of a migration: the expected remaining time of the answer
+   * for a leaving engine, the expected saved time for a slow one.
+   */
   readonly minBenefitMs: number;
   /** Excess over the typical send time from which a link counts as slow. */
   readonly slowLinkMs: number;
@@ -19,7 +22,10 @@
 export interface MigrationSources {
   /** Engines of the pipeline that the answer should migrate off. */
   readonly sources: readonly string[];
-  /** All engines that are leaving or have a slow link. */
+  /**
+   * All leaving engines. Includes engines with a slow link as well, unless the
+   * answer migrates off a leaving engine.
+   */
   readonly avoid: ReadonlySet<string>;
 }
 
@@ -42,8 +48,8 @@
     return { sources: leavingStages, avoid: new Set(leaving) };
   }
   const avoid = new Set(leaving);
-  // Common case: no stage exceeds the threshold, so none can exceed it relative
-  // to other engines.
+  // Common case: a stage whose send time is below the threshold cannot exceed
+  // the typical send time by the threshold.
   const mayBeSlow = engines.some(
     ({ settings, state }) =>
       stageEngines.has(settings.id) && (state?.sendMs ?? 0) >= slowLinkMs,
--- a/packages/calls/src/answer_migration_sources_test.ts
+++ b/packages/calls/src/answer_migration_sources_test.ts
@@ -62,15 +62,15 @@
     ]);
   });
 
-  /** No migration without a clear gain. */
+  /** An answer must not migrate without a clear gain. */
   it.each([
     ["that is as slow as all its peers", [42, 42, 42], 100],
     ["that is slower by less than the threshold", [12, 1, 2], 100],
     ["when the gain is too small", [42, 1, 2], 10],
     ["that is the only one with its layers", [42], 100],
-  ])("exclude an engine %s", (_name, times, restTokens) => {
+  ])("exclude an engine %s", (_name, times, remainingTokens) => {
     const engines = times.map((sendMs, index) => engine(index + 1, { sendMs }));
-    expect(findSources(engines, restTokens).sources).toEqual([]);
+    expect(findSources(engines, remainingTokens).sources).toEqual([]);
   });
 
   it("include a leaving engine if enough tokens remain", () => {
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -45,7 +45,7 @@
 
 let group: EngineGroup;
 let fleet: EngineFleet;
-let exportBreaks: boolean;
+let doExportsFail: boolean;
 
 async function startEngines(copies: number): Promise<void> {
   const ports = await findFreePorts(2 * copies);
@@ -58,13 +58,13 @@
     ],
     nextAddress: () => ({ host: "127.0.0.1", port: ports.shift() ?? 0 }),
     exportFault: async () => {
-      if (exportBreaks) throw new Error("the export broke");
+      if (doExportsFail) throw new Error("the export broke");
     },
   });
 }
 
 beforeEach(() => {
-  exportBreaks = false;
+  doExportsFail = false;
 });
 
 afterEach(() => {
@@ -226,7 +226,7 @@
    */
   it("recomputes when the cache transfer fails", async () => {
     await startEngines(2);
-    exportBreaks = true;
+    doExportsFail = true;
     const { leaving, ...answer } = await runAndMigrate(1);
     expect(answer).toEqual(expected());
     expect(group.journal.filter(({ imported }) => imported)).toEqual([]);
--- a/packages/calls/src/answer_resume.ts
+++ b/packages/calls/src/answer_resume.ts
@@ -176,8 +176,9 @@
   progress.digest = digest;
   progress.attemptNumber = request.attempt;
   progress.mayHaveRun = true;
-  // A new token proves that each stage had the KV cache. An engine that has
-  // lost it since reports that, and the attempt after it recomputes.
+  // Only an attempt that produced a token proves that its stages have the KV
+  // cache. If an engine has lost its cache since, the next attempt fails there,
+  // and the one after it recomputes.
   if (tokens.length === request.deliveredTokens.length) return progress;
   const incarnations = readIncarnations(options.fleet);
   for (const { engine, layers } of request.stages) {
--- a/packages/calls/src/answer_resume_test.ts
+++ b/packages/calls/src/answer_resume_test.ts
@@ -101,9 +101,7 @@
   };
 }
 
-/**
- * Reads `count` events of the answer, then drops it as a lost instance does.
- */
+/** Reads `count` events of the answer, then aborts it like a lost instance. */
 async function disconnectAfter(
   count: number,
   instance: ResumeDependencies,
--- a/packages/calls/src/claim_owners.ts
+++ b/packages/calls/src/claim_owners.ts
@@ -1,9 +1,9 @@
 /** Queries to the process that made a claim, about the state of its call. */
-import type { ClaimObject, ClaimWord } from "@rosemarypin/schemas";
+import type { ClaimObject, ClaimStatus } from "@rosemarypin/schemas";
 
 /** The owner's reply, or why there is none. */
 export type OwnerReply =
-  | ClaimWord
+  | ClaimStatus
   /** The process that made the claim has ended. */
   | { readonly kind: "gone" }
   /**
--- a/packages/calls/src/claim_registry.ts
+++ b/packages/calls/src/claim_registry.ts
@@ -2,15 +2,15 @@
 import type {
   ClaimQuestion,
   ClaimState,
-  ClaimWord,
+  ClaimStatus,
 } from "@rosemarypin/schemas";
 
 /** Limit of entries; the oldest ended calls are evicted first. */
-const MAX_REMEMBERED_CALLS = 1_000;
-/** Limit of all remembered answers; a few large ones could fill the heap. */
-const MAX_REMEMBERED_BYTES = 8 * 1024 * 1024;
+const MAX_RETAINED_CALLS = 1_000;
+/** Limit of all retained answers; a few large ones could fill the heap. */
+const MAX_RETAINED_ANSWER_BYTES = 8 * 1024 * 1024;
 
-const NEVER_SENT_STATUS: ClaimWord = { kind: "never_sent" };
+const NEVER_SENT_STATUS: ClaimStatus = { kind: "never_sent" };
 
 /** State of this process's claims, for duplicate calls on any instance. */
 export interface ClaimRegistry {
@@ -31,11 +31,11 @@
    * Returns the state of a call. Waits up to `waitMs` while the call runs.
    * Calls of another incarnation and evicted calls are `forgotten`.
    */
-  ask(question: ClaimQuestion): Promise<ClaimWord>;
+  ask(question: ClaimQuestion): Promise<ClaimStatus>;
 }
 
 interface Entry {
-  status: ClaimWord;
+  status: ClaimStatus;
   mayHaveRun: boolean;
   readonly waiters: Set<() => void>;
 }
@@ -45,26 +45,26 @@
   readonly incarnation: number;
 }): ClaimRegistry {
   const entries = new Map<string, Entry>();
-  let rememberedBytes = 0;
+  let retainedAnswerBytes = 0;
 
-  function end(requestId: string, status: ClaimWord): void {
+  function end(requestId: string, status: ClaimStatus): void {
     const entry = entries.get(requestId);
     if (entry?.status.kind !== "running") return;
     entry.status = status;
-    rememberedBytes += sizeOf(status);
+    retainedAnswerBytes += sizeOf(status);
     for (const wakeWaiter of entry.waiters) wakeWaiter();
-    forgetOldest();
+    evictOldest();
   }
 
-  function forgetOldest(): void {
+  function evictOldest(): void {
     for (const [requestId, { status }] of entries) {
       const isFull =
-        entries.size > MAX_REMEMBERED_CALLS ||
-        rememberedBytes > MAX_REMEMBERED_BYTES;
+        entries.size > MAX_RETAINED_CALLS ||
+        retainedAnswerBytes > MAX_RETAINED_ANSWER_BYTES;
       if (!isFull) return;
       if (status.kind === "running") continue;
       entries.delete(requestId);
-      rememberedBytes -= sizeOf(status);
+      retainedAnswerBytes -= sizeOf(status);
     }
   }
 
@@ -114,7 +114,7 @@
   };
 }
 
-function sizeOf(status: ClaimWord): number {
+function sizeOf(status: ClaimStatus): number {
   if (status.kind !== "settled") return 0;
   return status.state.kind === "answered" ? status.state.body.length : 0;
 }
--- a/packages/calls/src/claim_store.ts
+++ b/packages/calls/src/claim_store.ts
@@ -33,7 +33,7 @@
       readonly retryAfterMs: number;
     };
 
-/** Result of reading a claim again. */
+/** Result of re-reading a claim. */
 export type ClaimReading =
   | { readonly kind: "found"; readonly claim: Claim }
   | { readonly kind: "unavailable" };
--- a/packages/calls/src/object_claim_store.ts
+++ b/packages/calls/src/object_claim_store.ts
@@ -153,13 +153,13 @@
 
 /** A released claim may be reused, but only by a call of equal content. */
 function isReusable({ object }: Claim, wanted: ClaimObject): boolean {
-  const sameCall = object.fingerprint === wanted.fingerprint;
-  return object.state.kind === "released" && sameCall;
+  const isSameCall = object.fingerprint === wanted.fingerprint;
+  return object.state.kind === "released" && isSameCall;
 }
 
 function isSameRequest({ object }: Claim, wanted: ClaimObject): boolean {
-  const sameRequest = object.requestId === wanted.requestId;
-  return sameRequest && object.state.kind === "claimed";
+  const hasSameId = object.requestId === wanted.requestId;
+  return hasSameId && object.state.kind === "claimed";
 }
 
 function parseClaim(stored: StoredObject | null): Claim | null {
--- a/packages/calls/src/result_recorder.ts
+++ b/packages/calls/src/result_recorder.ts
@@ -2,7 +2,7 @@
  * Records the results of at-most-once calls in their claims, in the background
  * so that callers do not wait for the store.
  */
-import type { ClaimEnd, ClaimState } from "@rosemarypin/schemas";
+import type { ClaimResultRecord, ClaimState } from "@rosemarypin/schemas";
 import { pause } from "@rosemarypin/timing";
 import type { Claim, ClaimStore } from "./claim_store.ts";
 import { logRecordFailure } from "./service_log.ts";
@@ -13,14 +13,14 @@
 const MAX_ADOPTED_RESULTS = 1_000;
 
 /** Sends a result to another instance; resolves to whether it accepted. */
-export type SendResult = (result: ClaimEnd) => Promise<boolean>;
+export type SendResult = (result: ClaimResultRecord) => Promise<boolean>;
 
 /** Retries until each result is recorded or its retry period is over. */
 export interface ResultRecorder {
   /** Starts to record the result of a call that this instance handled. */
   record(claim: Claim, state: ClaimState): void;
   /** Accepts a result of a stopping instance; returns `false` when full. */
-  adopt(result: ClaimEnd): boolean;
+  adopt(result: ClaimResultRecord): boolean;
   /** Number of results that are not recorded yet. */
   count(): number;
   /** Resolves when no result is pending, or after `withinMs`. */
@@ -29,11 +29,11 @@
    * Hands unrecorded results over to other instances; resolves to the number
    * of results that are still pending here.
    */
-  handOver(give: SendResult): Promise<number>;
+  handOver(send: SendResult): Promise<number>;
 }
 
 interface PendingResult {
-  readonly result: ClaimEnd;
+  readonly result: ClaimResultRecord;
   readonly handedOver: AbortController;
 }
 
@@ -66,7 +66,7 @@
     }
   }
 
-  async function startRecording(result: ClaimEnd): Promise<void> {
+  async function startRecording(result: ClaimResultRecord): Promise<void> {
     const entry = { result, handedOver: new AbortController() };
     pending.add(entry);
     try {
@@ -98,9 +98,9 @@
       await pause(withinMs, done.signal);
       idleListeners.delete(wake);
     },
-    async handOver(give) {
+    async handOver(send) {
       for (const entry of [...pending]) {
-        if (!(await give(entry.result))) continue;
+        if (!(await send(entry.result))) continue;
         entry.handedOver.abort();
         pending.delete(entry);
       }
--- a/packages/calls/src/result_recorder_test.ts
+++ b/packages/calls/src/result_recorder_test.ts
@@ -1,9 +1,9 @@
-import type { ClaimEnd } from "@rosemarypin/schemas";
+import type { ClaimResultRecord } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import type { Claim } from "./claim_store.ts";
 import { createResultRecorder } from "./result_recorder.ts";
 
-const END = { kind: "unknown", reason: "reset" } as const;
+const UNKNOWN_STATE = { kind: "unknown", reason: "reset" } as const;
 
 function claimOf(requestId: string): Claim {
   const object = {
@@ -44,7 +44,7 @@
     const claims = createClaims();
     claims.isUnreachable = true;
     const recorder = createResultRecorder({ claims });
-    recorder.record(claimOf("r1"), END);
+    recorder.record(claimOf("r1"), UNKNOWN_STATE);
     await vi.advanceTimersByTimeAsync(60_000);
     expect(recorder.count()).toBe(1);
     claims.isUnreachable = false;
@@ -60,10 +60,12 @@
     claims.isUnreachable = true;
     const leaving = createResultRecorder({ claims });
     const staying = createResultRecorder({ claims });
-    leaving.record(claimOf("r1"), END);
-    leaving.record(claimOf("r2"), END);
+    leaving.record(claimOf("r1"), UNKNOWN_STATE);
+    leaving.record(claimOf("r2"), UNKNOWN_STATE);
     await vi.advanceTimersByTimeAsync(0);
-    expect(await leaving.handOver(async (end) => staying.adopt(end))).toBe(0);
+    expect(
+      await leaving.handOver(async (result) => staying.adopt(result)),
+    ).toBe(0);
     expect(leaving.count()).toBe(0);
     claims.isUnreachable = false;
     await vi.advanceTimersByTimeAsync(60_000);
@@ -74,7 +76,7 @@
     const claims = createClaims();
     claims.isUnreachable = true;
     const recorder = createResultRecorder({ claims });
-    recorder.record(claimOf("r1"), END);
+    recorder.record(claimOf("r1"), UNKNOWN_STATE);
     expect(await recorder.handOver(async () => false)).toBe(1);
     claims.isUnreachable = false;
     const finished = recorder.finish(30_000);
@@ -89,8 +91,13 @@
     const claims = createClaims();
     claims.isUnreachable = true;
     const recorder = createResultRecorder({ claims });
-    const end: ClaimEnd = { ...claimOf("r1"), state: END };
-    const taken = Array.from({ length: 1_200 }, () => recorder.adopt(end));
-    expect(taken.filter(Boolean)).toHaveLength(1_000);
+    const result: ClaimResultRecord = {
+      ...claimOf("r1"),
+      state: UNKNOWN_STATE,
+    };
+    const accepted = Array.from({ length: 1_200 }, () =>
+      recorder.adopt(result),
+    );
+    expect(accepted.filter(Boolean)).toHaveLength(1_000);
   });
 });
--- a/packages/calls/src/retry_budget.ts
+++ b/packages/calls/src/retry_budget.ts
@@ -1,7 +1,7 @@
 /** Limits retries to a fraction of the calls. */
 
 const RETRIES_PER_CALL = 0.1;
-const MAX_SAVED_RETRIES = 10;
+const MAX_AVAILABLE_RETRIES = 10;
 
 export interface RetryBudget {
   /** Adds the share of a retry that a new call earns. */
@@ -18,17 +18,17 @@
  * add a tenth to the load.
  */
 export function createRetryBudget(): RetryBudget {
-  let savedRetries = MAX_SAVED_RETRIES;
+  let availableRetries = MAX_AVAILABLE_RETRIES;
   return {
     countCall() {
-      savedRetries = Math.min(
-        MAX_SAVED_RETRIES,
-        savedRetries + RETRIES_PER_CALL,
+      availableRetries = Math.min(
+        MAX_AVAILABLE_RETRIES,
+        availableRetries + RETRIES_PER_CALL,
       );
     },
     take() {
-      if (savedRetries < 1) return false;
-      savedRetries -= 1;
+      if (availableRetries < 1) return false;
+      availableRetries -= 1;
       return true;
     },
   };
--- a/packages/daemon/src/claim_owners.ts
+++ b/packages/daemon/src/claim_owners.ts
@@ -9,7 +9,7 @@
   type ClaimObject,
   type ClaimQuestion,
   claimQuestionSchema,
-  claimWordSchema,
+  claimStatusSchema,
 } from "@rosemarypin/schemas";
 
 const METHOD = "claim.ask";
@@ -41,7 +41,7 @@
     });
     if (result.kind === "refused") return { kind: "gone" };
     if (result.kind !== "ok") return { kind: "silent" };
-    const parsed = claimWordSchema.safeParse(result.value);
+    const parsed = claimStatusSchema.safeParse(result.value);
     return parsed.success ? parsed.data : { kind: "silent" };
   }
 
--- a/packages/daemon/src/plain_services.ts
+++ b/packages/daemon/src/plain_services.ts
@@ -13,7 +13,7 @@
 import { type ObjectStore, readInstanceList } from "@rosemarypin/store";
 import type { Metrics } from "@rosemarypin/telemetry";
 import { claimOwnerMethods, createPeerClaimOwners } from "./claim_owners.ts";
-import { endHandOverMethods, finishEnds } from "./end_hand_over.ts";
+import { finishRecording, resultHandOverMethods } from "./result_hand_over.ts";
 
 const INSTANCE_LIST_EVERY_MS = 1_000;
 
@@ -74,11 +74,11 @@
     /** What peers ask about calls that this instance claimed. */
     peerMethods: {
       ...claimOwnerMethods(registry),
-      ...endHandOverMethods(ends),
+      ...resultHandOverMethods(ends),
     },
-    /** Resolves to whether no end of a call is lost with this instance. */
+    /** Resolves to whether no call result is lost with this instance. */
     finishEnds: (withinMs: number) =>
-      finishEnds({ ends, membership, peers, withinMs }),
+      finishRecording({ ends, membership, peers, withinMs }),
     stop(): void {
       fleet.stop();
       sweeper.stop();
--- a/packages/daemon/src/end_hand_over_test.ts
+++ b/packages/daemon/src/result_hand_over_test.ts
@@ -3,7 +3,7 @@
 import type { ClaimObject } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { fakeMember } from "./contract/fake_parts.ts";
-import { endHandOverMethods, finishEnds } from "./end_hand_over.ts";
+import { finishRecording, resultHandOverMethods } from "./result_hand_over.ts";
 
 const CLAIM: ClaimObject = {
   requestId: "r1",
@@ -14,14 +14,14 @@
   state: { kind: "claimed" },
 };
 
-/** An instance that holds one end while the store is away. */
+/** A stopping instance with one pending result; its store is unreachable. */
 function createStopping(members: readonly Member[]) {
-  const kept: string[] = [];
+  const recorded: string[] = [];
   const asked: number[] = [];
-  const staying = createResultRecorder({
+  const remaining = createResultRecorder({
     claims: {
       async settle({ key }) {
-        kept.push(key);
+        recorded.push(key);
         return true;
       },
     },
@@ -31,7 +31,7 @@
     { key: "claims/r1", object: CLAIM, version: 1 },
     { kind: "unknown", reason: "reset" },
   );
-  const methods = endHandOverMethods(staying);
+  const methods = resultHandOverMethods(remaining);
   let isFirstSilent = false;
   const options = {
     ends,
@@ -55,10 +55,10 @@
   const silenceFirst = () => {
     isFirstSilent = true;
   };
-  return { kept, asked, ends, options, silenceFirst };
+  return { recorded, asked, ends, options, silenceFirst };
 }
 
-describe("a planned stop in an outage of the store", () => {
+describe("a planned stop in a store outage", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -66,34 +66,35 @@
     vi.useRealTimers();
   });
 
-  async function stop(options: Parameters<typeof finishEnds>[0]) {
-    const ended = finishEnds(options);
+  async function stop(options: Parameters<typeof finishRecording>[0]) {
+    const ended = finishRecording(options);
     await vi.advanceTimersByTimeAsync(31_000);
     return ended;
   }
 
-  it("leaves what is not recorded to an instance that stays", async () => {
-    // The end of an order is known and cannot be written. The instance waited
-    // its whole grace time, stopped with 3, and the end was lost with it.
-    const { kept, asked, options } = createStopping([
+  it("hands unrecorded results over to an instance that keeps running", async () => {
+    // The result of an order is known but cannot be written. Without the
+    // hand-over, the instance would use its whole grace period, exit with
+    // code 3, and lose the result.
+    const { recorded, asked, options } = createStopping([
       fakeMember(1, true),
       fakeMember(2),
     ]);
     expect(await stop(options)).toBe(true);
-    expect([kept, asked]).toEqual([["claims/r1"], [2]]);
+    expect([recorded, asked]).toEqual([["claims/r1"], [2]]);
   });
 
-  it("asks the next instance when one is silent", async () => {
-    const { kept, asked, options, silenceFirst } = createStopping([
+  it("tries the next instance when one does not respond", async () => {
+    const { recorded, asked, options, silenceFirst } = createStopping([
       fakeMember(1),
       fakeMember(2),
     ]);
     silenceFirst();
     expect(await stop(options)).toBe(true);
-    expect([kept, asked]).toEqual([["claims/r1"], [1, 2]]);
+    expect([recorded, asked]).toEqual([["claims/r1"], [1, 2]]);
   });
 
-  it("says so when nobody takes it within the grace time", async () => {
+  it("reports a result that no instance accepts within the grace period", async () => {
     const { ends, options } = createStopping([fakeMember(1, true)]);
     expect(await stop(options)).toBe(false);
     expect(ends.count()).toBe(1);
--- a/packages/schemas/src/peer.ts
+++ b/packages/schemas/src/peer.ts
@@ -28,7 +28,7 @@
 });
 export type MemberRecord = z.infer<typeof memberRecordSchema>;
 
-/** Asks the owner of a claim what became of the call. */
+/** Query to the owner of a claim about the state of its call. */
 export const claimQuestionSchema = z.object({
   /** Start of the owner's process that made the claim. */
   incarnation: z.number(),
@@ -38,27 +38,27 @@
 });
 export type ClaimQuestion = z.infer<typeof claimQuestionSchema>;
 
-/** What the owner of a claim knows of the call. */
-export const claimWordSchema = z.discriminatedUnion("kind", [
+/** State of a call, as reported by the owner of its claim. */
+export const claimStatusSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("running") }),
   /** The call was not sent, and never will be under this claim. */
   z.object({ kind: z.literal("never_sent") }),
   z.object({ kind: z.literal("settled"), state: claimStateSchema }),
-  /** Another process made the claim, or it was too long ago. */
+  /** Another process made the claim, or its entry has been evicted. */
   z.object({ kind: z.literal("forgotten") }),
 ]);
-export type ClaimWord = z.infer<typeof claimWordSchema>;
+export type ClaimStatus = z.infer<typeof claimStatusSchema>;
 
 /**
- * What became of a call, for another instance to record: the one that owns
- * the claim stops before the store takes it.
+ * Result of a call, handed over for another instance to record, because the
+ * owner of the claim stops while the store cannot be written.
  */
-export const claimEndSchema = z.object({
+export const claimResultRecordSchema = z.object({
   /** Key of the claim in the object API. */
   key: z.string(),
   object: claimObjectSchema,
-  /** Version of the claim that the end replaces. */
+  /** Version of the claim that the result replaces. */
   version: z.number(),
   state: claimStateSchema,
 });
-export type ClaimEnd = z.infer<typeof claimEndSchema>;
+export type ClaimResultRecord = z.infer<typeof claimResultRecordSchema>;
--- a/packages/store/src/call_queue_test.ts
+++ b/packages/store/src/call_queue_test.ts
@@ -40,9 +40,9 @@
     const queue = await createExhaustedQueue();
     const waits: (number | undefined)[] = [];
     for (let number = 0; number < 100; number++) {
-      const place = waits.push(undefined) - 1;
+      const index = waits.push(undefined) - 1;
       void queue.take(BEGIN).then((waitMs) => {
-        waits[place] = waitMs;
+        waits[index] = waitMs;
       });
     }
     await vi.advanceTimersByTimeAsync(0);
--- a/packages/store/src/follow_objects_test.ts
+++ b/packages/store/src/follow_objects_test.ts
@@ -93,9 +93,9 @@
 // The store's watch skips the change that recalls a version: the position
 // advances, but the object is not returned. A full read each minute finds it.
 it("followObjects finds a change that the watch skipped", async () => {
-  const quiet = Array.from({ length: 4 }, () => batch(2, []));
+  const emptyBatches = Array.from({ length: 4 }, () => batch(2, []));
   const reported: number[] = [];
-  const answers = [batch(1, [1]), ...quiet];
+  const answers = [batch(1, [1]), ...emptyBatches];
   const stopping = new AbortController();
   const watch: ObjectStore["watch"] = async (_, { since }) => {
     await new Promise((resolve) => setTimeout(resolve, 25_000));
--- a/packages/store/src/full_jitter.ts
+++ b/packages/store/src/full_jitter.ts
@@ -9,7 +9,7 @@
 /**
  * Returns a random delay from 0 to a cap that doubles with each consecutive
  * failure. The whole delay is random, so that clients which failed at the same
- * moment spread their retries over all of it.
+ * moment spread their retries over the whole range.
  */
 export function fullJitterMs(
   failures: number,
--- a/packages/store/src/instance_list.ts
+++ b/packages/store/src/instance_list.ts
@@ -26,8 +26,8 @@
 
 /**
  * Returns the peer addresses of live entry instances in the list. As the list
- * may be stale, these are only addresses to contact; they say nothing reliable
- * about which instances are alive, dead or leaving.
+ * may be stale, these are only addresses to contact. They do not show reliably
+ * which instances are alive, dead or leaving.
  */
 export async function readPeerHints(
   url: string | undefined,
--- a/packages/store/src/instance_list_test.ts
+++ b/packages/store/src/instance_list_test.ts
@@ -20,7 +20,7 @@
   return `http://${HOST}:${port}`;
 }
 
-async function startOther(
+async function startRawServer(
   answer: (response: ServerResponse) => void,
 ): Promise<string> {
   const server = createServer((_request, response) => answer(response));
@@ -60,17 +60,20 @@
   /** A failed read must not be taken for an empty list. */
   const rows: [string, (response: ServerResponse) => void][] = [
     ["500", (response) => response.writeHead(500).end('{"error":"down"}')],
-    ["garbage", (response) => response.end("no json")],
-    ["another schema", (response) => response.end('{"instances":"all"}')],
-    ["half an answer", (response) => halfAnswer(response)],
+    ["invalid JSON", (response) => response.end("no json")],
+    [
+      "a body that violates the schema",
+      (response) => response.end('{"instances":"all"}'),
+    ],
+    ["a truncated response", (response) => sendTruncatedResponse(response)],
     ["reset", (response) => response.destroy()],
   ];
   it.each(rows)("returns null after %s", async (_what, answer) => {
-    expect(await readInstanceList(await startOther(answer))).toBeNull();
+    expect(await readInstanceList(await startRawServer(answer))).toBeNull();
   });
 });
 
-function halfAnswer(response: ServerResponse): void {
+function sendTruncatedResponse(response: ServerResponse): void {
   response.writeHead(200, { "content-length": 1_000 });
   response.write('{"instances":[]');
   setTimeout(() => response.destroy(), 50);
--- a/packages/store/src/store_breaker_test.ts
+++ b/packages/store/src/store_breaker_test.ts
@@ -4,20 +4,23 @@
 import { createStoreBreaker } from "./store_breaker.ts";
 
 const SEED = 3;
-const FINE = 1_000_000;
+const RANDOM_STEPS = 1_000_000;
 const FLEET = 340;
 const RETRY_MS = 100;
 const OUTAGE_SECONDS = 120;
 /** By then, the probe delays have reached their maximum. */
-const GROWN_AFTER_SECONDS = 60;
+const MAX_DELAY_REACHED_SECONDS = 60;
 
-const FAILED: StoreResult<never> = { kind: "unavailable", detail: "away" };
+const FAILED: StoreResult<never> = {
+  kind: "unavailable",
+  detail: "unreachable",
+};
 
 beforeEach(() => {
   vi.useFakeTimers();
   const seeded = createSeededRandom(SEED);
   vi.spyOn(Math, "random").mockImplementation(
-    () => seeded.between(0, FINE - 1) / FINE,
+    () => seeded.between(0, RANDOM_STEPS - 1) / RANDOM_STEPS,
   );
 });
 
@@ -60,12 +63,15 @@
   // in the second of its recovery and overload it again.
   it("spreads the probes of a larger fleet over a longer time", async () => {
     const probes = await probesPerSecond(FLEET);
-    const grown = probes.slice(GROWN_AFTER_SECONDS, OUTAGE_SECONDS);
-    expect(mean(grown)).toBeLessThan(FLEET / 4);
-    expect(Math.max(...grown)).toBeLessThan(FLEET / 2);
-    const unaware = await probesPerSecond(1);
-    const unawareGrown = unaware.slice(GROWN_AFTER_SECONDS, OUTAGE_SECONDS);
-    expect(mean(grown)).toBeLessThan(0.7 * mean(unawareGrown));
+    const atMaxDelay = probes.slice(MAX_DELAY_REACHED_SECONDS, OUTAGE_SECONDS);
+    expect(mean(atMaxDelay)).toBeLessThan(FLEET / 4);
+    expect(Math.max(...atMaxDelay)).toBeLessThan(FLEET / 2);
+    const single = await probesPerSecond(1);
+    const singleAtMaxDelay = single.slice(
+      MAX_DELAY_REACHED_SECONDS,
+      OUTAGE_SECONDS,
+    );
+    expect(mean(atMaxDelay)).toBeLessThan(0.7 * mean(singleAtMaxDelay));
   });
 
   // The store hangs, and a probe waits two seconds for its reply. All other
--- a/packages/store/src/weight_loader.ts
+++ b/packages/store/src/weight_loader.ts
@@ -4,7 +4,7 @@
 import { fullJitterMs } from "./full_jitter.ts";
 import type { WeightStore } from "./weight_store.ts";
 
-/** While one request is served, the next one is already sent. */
+/** Two, so that the store has the next request while it serves one. */
 const MAX_CONCURRENT_REQUESTS = 2;
 const RETRY_BACKOFF = { firstMs: 500, maxMs: 30_000 };
 
--- a/packages/store/src/weight_loader_test.ts
+++ b/packages/store/src/weight_loader_test.ts
@@ -49,9 +49,9 @@
   const loader = createWeightLoader({ store, megabytesPerSecond: 100 });
   const loaded: boolean[] = [];
   for (let index = 0; index < count; index++) {
-    const asked = { signal, priority: index % 2 };
+    const loadOptions = { signal, priority: index % 2 };
     void loader
-      .load(weightsFor(index), asked)
+      .load(weightsFor(index), loadOptions)
       .then((isLoaded) => loaded.push(isLoaded));
   }
   return loaded;
@@ -117,8 +117,8 @@
     const strict: WeightStore = {
       async load(wanted, signal) {
         const result = await store.load(wanted, signal);
-        const isKnown = wanted.engine !== "engine-0";
-        return isKnown ? result : { kind: "refused", detail: "404" };
+        const isAccepted = wanted.engine !== "engine-0";
+        return isAccepted ? result : { kind: "refused", detail: "404" };
       },
     };
     const loaded = startLoads(10, { store: strict });
--- a/packages/store/src/weight_store.ts
+++ b/packages/store/src/weight_store.ts
@@ -4,7 +4,7 @@
 
 /** Lower limit of the timeout of a request. */
 const MIN_TIMEOUT_MS = 10_000;
-/** A request may queue behind this many equal requests of other clients. */
+/** Requests of the same size, of other clients, that may be served first. */
 const MAX_REQUESTS_AHEAD = 8;
 
 /** Result of one request. */
@@ -15,9 +15,9 @@
   /** The store refuses these weights. */
   | { readonly kind: "refused"; readonly detail: string };
 
-/** Has weights served to engines. */
+/** Requests that the weight store send weights to engines. */
 export interface WeightStore {
-  /** Resolves when the engine has been served; never throws. */
+  /** Resolves once the engine has its weights or the request failed. */
   load(wanted: WeightRequest, signal: AbortSignal): Promise<WeightResult>;
 }
 
--- a/packages/timing/src/alarm.ts
+++ b/packages/timing/src/alarm.ts
@@ -3,11 +3,11 @@
 export interface InterruptibleTimer {
   /** Ends the current wait; does nothing if there is none. */
   interrupt(): void;
-  /** Resolves after `longestMs`, on `ring`, or when the signal is aborted. */
-  wait(longestMs: number, signal: AbortSignal): Promise<void>;
+  /** Resolves after `timeoutMs`, on `interrupt`, or when `signal` is aborted. */
+  wait(timeoutMs: number, signal: AbortSignal): Promise<void>;
 }
 
-/** Creates an alarm for one waiter at a time. */
+/** Creates a timer for one waiter at a time. */
 export function createInterruptibleTimer(): InterruptibleTimer {
   let end: (() => void) | null = null;
 
@@ -15,10 +15,10 @@
     interrupt() {
       end?.();
     },
-    wait(longestMs, signal) {
+    wait(timeoutMs, signal) {
       return new Promise((resolve) => {
         if (signal.aborted) return resolve();
-        const timer = setTimeout(done, longestMs);
+        const timer = setTimeout(done, timeoutMs);
         signal.addEventListener("abort", done, { once: true });
         end = done;
         function done(): void {
--- a/packages/timing/src/alarm_test.ts
+++ b/packages/timing/src/alarm_test.ts
@@ -3,7 +3,7 @@
 
 const RUNNING = new AbortController().signal;
 
-describe("alarm", () => {
+describe("interruptible timer", () => {
   beforeEach(() => {
     vi.useFakeTimers();
   });
@@ -20,19 +20,19 @@
     expect(ended).toHaveBeenCalledOnce();
   });
 
-  it("ends a wait on ring and leaves no timer", async () => {
-    const alarm = createInterruptibleTimer();
-    const waiting = alarm.wait(100, RUNNING);
-    alarm.interrupt();
+  it("ends a wait on interrupt and leaves no timer", async () => {
+    const timer = createInterruptibleTimer();
+    const waiting = timer.wait(100, RUNNING);
+    timer.interrupt();
     await waiting;
     expect(vi.getTimerCount()).toBe(0);
   });
 
-  it("ignores a ring before the wait", async () => {
-    const alarm = createInterruptibleTimer();
-    alarm.interrupt();
+  it("ignores an interrupt before the wait", async () => {
+    const timer = createInterruptibleTimer();
+    timer.interrupt();
     const ended = vi.fn();
-    void alarm.wait(100, RUNNING).then(ended);
+    void timer.wait(100, RUNNING).then(ended);
     await vi.advanceTimersByTimeAsync(50);
     expect(ended).not.toHaveBeenCalled();
   });
