--- a/packages/bench/src/answers/leave_rounds.ts
+++ b/packages/bench/src/answers/leave_rounds.ts
@@ -46,21 +46,21 @@
   /** Whether the engine leaves, or its link degrades. */
   readonly fault?: "leave" | "slow";
   readonly bytesPerSecond: number;
-  readonly moves?: MigrationLimits;
-  readonly links?: LinkSpeeds;
+  readonly migrationLimits?: MigrationLimits;
+  readonly linkSpeeds?: LinkSpeeds;
   readonly rounds?: number;
 }
 
 const CASES: readonly Case[] = [
-  { name: "stay", bytesPerSecond: FAST_LINK, moves: STAY },
+  { name: "stay", bytesPerSecond: FAST_LINK, migrationLimits: STAY },
   { name: "fast_link", bytesPerSecond: FAST_LINK },
   { name: "slow_link", bytesPerSecond: SLOW_LINK },
-  { name: "no_import", bytesPerSecond: FAST_LINK, links: NO_LINKS },
+  { name: "no_import", bytesPerSecond: FAST_LINK, linkSpeeds: NO_LINKS },
   {
     name: "slow_stage_stay",
     fault: "slow",
     bytesPerSecond: FAST_LINK,
-    moves: STAY,
+    migrationLimits: STAY,
     // Each takes 9 s, and all are alike.
     rounds: 4,
   },
@@ -91,10 +91,10 @@
   isPicked: (name: string) => boolean,
 ): Promise<void> {
   for (const one of CASES.filter(({ name }) => isPicked(name))) {
-    const links = one.links ?? createLinkSpeeds();
+    const linkSpeeds = one.linkSpeeds ?? createLinkSpeeds();
     const rounds: Round[] = [];
     for (let number = 0; number < (one.rounds ?? ROUNDS); number++) {
-      const round = await runRound(group, { ...one, number, links });
+      const round = await runRound(group, { ...one, number, linkSpeeds });
       if (round) rounds.push(round);
     }
     tell(one, rounds);
@@ -103,10 +103,10 @@
 
 async function runRound(
   group: EngineGroup,
-  options: Case & { readonly number: number; readonly links: LinkSpeeds },
+  options: Case & { readonly number: number; readonly linkSpeeds: LinkSpeeds },
 ): Promise<Round | null> {
-  const { name, number, links, bytesPerSecond } = options;
-  const { moves = defaultMigrationLimits } = options;
+  const { name, number, linkSpeeds, bytesPerSecond } = options;
+  const { migrationLimits = defaultMigrationLimits } = options;
   for (const { id } of group.engines) {
     await group.slowExports(id, bytesPerSecond);
   }
@@ -114,7 +114,7 @@
   const requestId = `leave-${name}-${number}`;
   const request = describeRequest(requestId, { words: WORDS, tokens: TOKENS });
   const { signal } = new AbortController();
-  const answers = { ...entry.answers, links, moves, signal };
+  const answers = { ...entry.answers, linkSpeeds, migrationLimits, signal };
   const tokenAt: number[] = [];
   let victim: string | null = null;
   let leftAt = 0;
--- a/packages/calls/src/answer.ts
+++ b/packages/calls/src/answer.ts
@@ -52,8 +52,8 @@
    * Shared by all answers of an instance. Without it each answer starts with
    * default speeds.
    */
-  readonly links?: LinkSpeeds;
-  readonly moves?: MigrationLimits;
+  readonly linkSpeeds?: LinkSpeeds;
+  readonly migrationLimits?: MigrationLimits;
 }
 
 interface RunOptions extends AnswerDependencies {
@@ -89,7 +89,7 @@
 ): AsyncGenerator<AnswerEvent> {
   const { progress } = options;
   const pace = createTokenPace(options.liveness ?? defaultLiveness);
-  const links = options.links ?? createLinkSpeeds();
+  const linkSpeeds = options.linkSpeeds ?? createLinkSpeeds();
   let migration: Migration | null = null;
   try {
     while (!options.signal.aborted) {
@@ -104,7 +104,7 @@
         ...options,
         progress,
         pace,
-        links,
+        linkSpeeds,
         migration,
       };
       migration = null;
@@ -155,7 +155,7 @@
 interface NextAttemptOptions extends RunOptions {
   readonly progress: Progress;
   readonly pace: TokenPace;
-  readonly links: LinkSpeeds;
+  readonly linkSpeeds: LinkSpeeds;
   /** Engines acquired in advance for the next attempt. */
   readonly migration: Migration | null;
 }
@@ -191,12 +191,18 @@
   try {
     if (signal.aborted) return { kind: "retry", reason: "caller disconnected" };
     const liveness = options.liveness ?? defaultLiveness;
-    const moves = options.moves ?? defaultMigrationLimits;
+    const migrationLimits = options.migrationLimits ?? defaultMigrationLimits;
     const onFirstToken = () => {
       releaseSlot?.();
       if (isLossRecovery) metrics?.recoveries.inc({ model: request.model });
     };
-    const attempt = { ...options, grant, liveness, moves, onFirstToken };
+    const attempt = {
+      ...options,
+      grant,
+      liveness,
+      migrationLimits,
+      onFirstToken,
+    };
     return yield* runAttempt(request, attempt);
   } finally {
     releaseSlot?.();
--- a/packages/calls/src/answer_attempt.ts
+++ b/packages/calls/src/answer_attempt.ts
@@ -85,7 +85,7 @@
 ): Promise<AttemptStart> {
   const { engines, attempt, signal, liveness } = running;
   const [first] = attempt.stages;
-  if (!first) throw new Error("a pipeline has at least one stage");
+  if (!first) throw new Error("the pipeline has no stages");
   const timeout = new AbortController();
   const timer = setTimeout(() => timeout.abort(), liveness.startTimeoutMs);
   try {
--- a/packages/calls/src/answer_attempt_state.ts
+++ b/packages/calls/src/answer_attempt_state.ts
@@ -30,8 +30,8 @@
   readonly engines: EngineClient;
   readonly router: Pick<Router, "acquire">;
   readonly recoveries: RecoveryLimiter;
-  readonly links: LinkSpeeds;
-  readonly moves: MigrationLimits;
+  readonly linkSpeeds: LinkSpeeds;
+  readonly migrationLimits: MigrationLimits;
   readonly metrics?: Metrics;
   readonly liveness: LivenessLimits;
   readonly pace: TokenPace;
--- a/packages/calls/src/answer_cache_import.ts
+++ b/packages/calls/src/answer_cache_import.ts
@@ -16,13 +16,13 @@
 interface ImportContext {
   readonly progress: Progress;
   readonly fleet: Pick<EngineFleet, "engines">;
-  readonly links: LinkSpeeds;
+  readonly linkSpeeds: LinkSpeeds;
 }
 
 /** Returns the attempt with the KV cache source of each importing stage. */
 export function addCacheImports(
   attempt: AttemptRequest,
-  { progress, fleet, links }: ImportContext,
+  { progress, fleet, linkSpeeds }: ImportContext,
 ): AttemptRequest {
   const { stages } = attempt;
   const enginesWithCache = new Set(
@@ -42,7 +42,7 @@
     holders,
     engines,
     positions,
-    links,
+    linkSpeeds,
   };
   const sources = chooseImports(stages, importOptions);
   if (sources.size === 0) return attempt;
@@ -106,7 +106,7 @@
     ms: Math.round(durationMs),
   });
   const link = linkOf(stage, options);
-  if (link) options.links.observe(link, { bytes, durationMs });
+  if (link) options.linkSpeeds.observe(link, { bytes, durationMs });
 }
 
 /**
@@ -136,7 +136,7 @@
   const bytes = cacheBytesOf(stage, { positions, holder });
   const link = linkOf(stage, options);
   const transfer = { bytes, durationMs: elapsedMs };
-  if (link) options.links.observeTimeout(link, transfer);
+  if (link) options.linkSpeeds.observeTimeout(link, transfer);
 }
 
 function linkOf(stage: Stage, { fleet }: ImportContext): Link | null {
--- a/packages/calls/src/answer_cache_import_plan.ts
+++ b/packages/calls/src/answer_cache_import_plan.ts
@@ -28,7 +28,7 @@
   readonly engines: ReadonlyMap<string, EngineSnapshot>;
   /** Number of positions that the KV cache of each stage must cover. */
   readonly positions: number;
-  readonly links: LinkSpeeds;
+  readonly linkSpeeds: LinkSpeeds;
 }
 
 interface ImportPlan {
@@ -131,14 +131,14 @@
   stage: Stage,
   options: ImportOptions & { readonly holder: CacheHolder },
 ): number {
-  const { holder, engines, links } = options;
+  const { holder, engines, linkSpeeds } = options;
   const bytes = cacheBytesOf(stage, { ...options, holder: holder.engine });
   const to = engines.get(stage.engine);
   const link = {
     from: linkEndOf(holder.engine),
     to: to ? linkEndOf(to) : { engine: stage.engine, failureDomain: "" },
   };
-  return (bytes / links.bytesPerSecond(link)) * MS_PER_SECOND;
+  return (bytes / linkSpeeds.bytesPerSecond(link)) * MS_PER_SECOND;
 }
 
 /** Size of a stage's KV cache, by the bytes that `holder` reports. */
--- a/packages/calls/src/answer_cache_import_plan_test.ts
+++ b/packages/calls/src/answer_cache_import_plan_test.ts
@@ -67,7 +67,7 @@
     })),
     engines: new Map(engines.map((known) => [known.settings.id, known])),
     positions: POSITIONS,
-    links: {
+    linkSpeeds: {
       observe() {},
       observeTimeout() {},
       bytesPerSecond: () => bytesPerSecond,
--- a/packages/calls/src/answer_engine_acquisition.ts
+++ b/packages/calls/src/answer_engine_acquisition.ts
@@ -31,7 +31,7 @@
 ): Promise<EngineAcquisition> {
   const { router, signal } = options;
   const { version, avoidedEngines, mayHaveRun: isRecovery } = progress;
-  if (!version) throw new Error("a version is chosen before a pipeline");
+  if (!version) throw new Error("no version has been chosen for the answer");
   const prefer = new Set(progress.caches.keys());
   const requirements = {
     request,
--- a/packages/calls/src/answer_link_speeds.ts
+++ b/packages/calls/src/answer_link_speeds.ts
@@ -53,16 +53,16 @@
 
 /** Creates link speeds without measurements. */
 export function createLinkSpeeds(
-  options: { readonly forgetMs?: number } = {},
+  options: { readonly expiryMs?: number } = {},
 ): LinkSpeeds {
-  const { forgetMs = MEASUREMENT_EXPIRY_MS } = options;
+  const { expiryMs = MEASUREMENT_EXPIRY_MS } = options;
   const engines = createTransferAverages({
     maxPairs: MAX_ENGINE_PAIRS,
-    forgetMs,
+    expiryMs,
   });
   const domains = createTransferAverages({
     maxPairs: MAX_DOMAIN_PAIRS,
-    forgetMs,
+    expiryMs,
   });
   return {
     observeTimeout(link, transfer) {
@@ -90,9 +90,9 @@
 /** Averages transfers by key and evicts the least recently observed key. */
 function createTransferAverages(options: {
   readonly maxPairs: number;
-  readonly forgetMs: number;
+  readonly expiryMs: number;
 }) {
-  const { maxPairs, forgetMs } = options;
+  const { maxPairs, expiryMs } = options;
   const weightedSums = new Map<
     string,
     Transfer & { readonly observedAt: number }
@@ -100,7 +100,7 @@
 
   function readUnexpired(key: string): Transfer | undefined {
     const weighted = weightedSums.get(key);
-    return weighted && performance.now() - weighted.observedAt < forgetMs
+    return weighted && performance.now() - weighted.observedAt < expiryMs
       ? weighted
       : undefined;
   }
--- a/packages/calls/src/answer_link_speeds_test.ts
+++ b/packages/calls/src/answer_link_speeds_test.ts
@@ -43,7 +43,7 @@
    * measurement: without expiry, all later answers would recompute.
    */
   it("expire without new transfers", () => {
-    const speeds = createLinkSpeeds({ forgetMs: 30_000 });
+    const speeds = createLinkSpeeds({ expiryMs: 30_000 });
     speeds.observe(link("a", "b"), SLOW_TRANSFER);
     vi.advanceTimersByTime(29_000);
     expect(speeds.bytesPerSecond(link("a", "b"))).toBe(1_000);
--- a/packages/calls/src/answer_migration.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -65,7 +65,7 @@
   readonly router: Pick<Router, "acquire">;
   readonly recoveries: RecoveryLimiter;
   readonly pace: TokenPace;
-  readonly moves: MigrationLimits;
+  readonly migrationLimits: MigrationLimits;
 }
 
 /**
@@ -76,7 +76,8 @@
  * none are free isn't interrupted.
  */
 export function createMigrator(options: MigratorOptions): Migrator {
-  const { request, attempt, progress, fleet, router, pace, moves } = options;
+  const { request, attempt, progress, fleet, router, pace, migrationLimits } =
+    options;
   const stopped = new AbortController();
   const { signal } = stopped;
   let lastCheckAt = performance.now();
@@ -90,7 +91,8 @@
       return migration;
     }
     const now = performance.now();
-    if (isPreparing || now - lastCheckAt < moves.checkIntervalMs) return null;
+    if (isPreparing || now - lastCheckAt < migrationLimits.checkIntervalMs)
+      return null;
     lastCheckAt = now;
     const plan = findMigrationSources(fleet.engines(), {
       ...attempt,
@@ -103,7 +105,7 @@
   function estimateRemaining() {
     const remainingTokens = request.maxTokens - progress.deliveredTokens.length;
     const remainingMs = remainingTokens * (pace.averageGapMs() ?? 0);
-    const { minBenefitMs, slowLinkMs } = moves;
+    const { minBenefitMs, slowLinkMs } = migrationLimits;
     return { remainingTokens, remainingMs, minBenefitMs, slowLinkMs };
   }
 
--- a/packages/calls/src/answer_migration_test.ts
+++ b/packages/calls/src/answer_migration_test.ts
@@ -128,8 +128,8 @@
     engines,
     liveness: LONG_TIMEOUTS,
     recoveries: createRecoveryLimiter(),
-    links: createLinkSpeeds(),
-    moves: {
+    linkSpeeds: createLinkSpeeds(),
+    migrationLimits: {
       minBenefitMs: options.minBenefitMs ?? 0,
       slowLinkMs: SLOW_MS,
       checkIntervalMs: 1,
@@ -329,7 +329,11 @@
       },
       recoveries: limiter,
       pace: createTokenPace(defaultLiveness),
-      moves: { minBenefitMs: 0, slowLinkMs: SLOW_MS, checkIntervalMs: 0 },
+      migrationLimits: {
+        minBenefitMs: 0,
+        slowLinkMs: SLOW_MS,
+        checkIntervalMs: 0,
+      },
     });
     expect(migrator.takeMigration()).toBeNull();
     await vi.advanceTimersByTimeAsync(0);
--- a/packages/calls/src/answer_version.ts
+++ b/packages/calls/src/answer_version.ts
@@ -31,7 +31,7 @@
     const code = "no_release_note";
     if (progress.mayHaveRun) return createGiveUpFailure(code, progress);
     return notRun(code, {
-      message: "this instance has no release note yet; try again",
+      message: "this instance has no release note yet; retry later",
       retryAfterSeconds: NO_NOTE_RETRY_SECONDS,
     });
   }
--- a/packages/calls/src/at_most_once_call_test.ts
+++ b/packages/calls/src/at_most_once_call_test.ts
@@ -78,7 +78,7 @@
     incarnation: 1,
     store,
   });
-  const ends = createResultRecorder({ claims });
+  const resultRecorder = createResultRecorder({ claims });
   const fleet: ServiceFleet = {
     choose: (servers) => servers,
     send: (_server, request) => options.send(request),
@@ -98,12 +98,12 @@
       async ask({ owner, requestId, incarnation }, { waitMs }) {
         const all = [...(options.others?.() ?? []), instance];
         const target = all.find((candidate) => candidate.id === owner);
-        if (!target) return { kind: "gone" };
+        if (!target) return { kind: "process_ended" };
         return target.registry.ask({ requestId, incarnation, waitMs });
       },
     },
     failureDomain: "a",
-    resultRecorder: ends,
+    resultRecorder,
   });
   const instance = {
     id,
@@ -112,8 +112,8 @@
     withdraw() {
       current = { ...note, number: 2, catalogue: emptyCatalogue };
     },
-    ends,
-    settled: () => ends.finish(600_000),
+    resultRecorder,
+    settled: () => resultRecorder.finish(600_000),
     order(requestId: string, order: Partial<typeof defaultOrder> = {}) {
       const { key, body, organisation } = { ...defaultOrder, ...order };
       return call({
--- a/packages/calls/src/claim_owners.ts
+++ b/packages/calls/src/claim_owners.ts
@@ -5,12 +5,12 @@
 export type OwnerReply =
   | ClaimStatus
   /** The process that made the claim has ended. */
-  | { readonly kind: "gone" }
+  | { readonly kind: "process_ended" }
   /**
    * The owner did not reply. It may be frozen or partitioned and may still
    * send the call later.
    */
-  | { readonly kind: "silent" };
+  | { readonly kind: "no_reply" };
 
 /** Queries owners of claims, including this process. */
 export interface ClaimOwners {
--- a/packages/calls/src/outcome_table_test.ts
+++ b/packages/calls/src/outcome_table_test.ts
@@ -203,7 +203,7 @@
     fleet: createServiceFleet({ services, client: createServiceClient() }),
     claims,
     registry,
-    owners: { ask: async () => ({ kind: "silent" }) },
+    owners: { ask: async () => ({ kind: "no_reply" }) },
     failureDomain: "a",
     resultRecorder: createResultRecorder({ claims }),
   });
--- a/packages/checks/src/answer_parts.ts
+++ b/packages/checks/src/answer_parts.ts
@@ -46,8 +46,12 @@
   lostMessageTimeoutMs: 600,
 };
 /** Answers here are short, so all that can be moved are. */
-const FORGET_LINKS_MS = 500;
-const MOVES = { minBenefitMs: 0, slowLinkMs: 20, checkIntervalMs: 5 };
+const LINK_SPEED_EXPIRY_MS = 500;
+const MIGRATION_LIMITS = {
+  minBenefitMs: 0,
+  slowLinkMs: 20,
+  checkIntervalMs: 5,
+};
 
 /** Starts three stages of engines and two instances that share them. */
 export async function startParts(random: SeededRandom) {
@@ -92,8 +96,8 @@
         engines: createFaultyClient(real, random),
         parked: real,
         recoveries: createRecoveryLimiter(),
-        links: createLinkSpeeds({ forgetMs: FORGET_LINKS_MS }),
-        moves: MOVES,
+        linkSpeeds: createLinkSpeeds({ expiryMs: LINK_SPEED_EXPIRY_MS }),
+        migrationLimits: MIGRATION_LIMITS,
         liveness: LIVENESS,
       };
     },
--- a/packages/checks/src/bookings/instance.ts
+++ b/packages/checks/src/bookings/instance.ts
@@ -56,16 +56,16 @@
       const question = { incarnation: claim.incarnation, requestId, waitMs };
       if (owner === id) return registry.ask(question);
       await interleaving.pause(`asks ${owner} about ${requestId}`);
-      if (faults.strikes(FAULT_CHANCE)) return { kind: "silent" };
+      if (faults.strikes(FAULT_CHANCE)) return { kind: "no_reply" };
       const target = options.running().find((other) => other.id === owner);
-      if (!target) return { kind: "gone" };
+      if (!target) return { kind: "process_ended" };
       const word = interleaving.run(target.process, async () => {
         await interleaving.pause(`is asked about ${requestId}`);
         return target.registry.ask(question);
       });
       const silence = interleaving
         .sleep(waitMs + REPLY_MS)
-        .then(() => ({ kind: "silent" as const }));
+        .then(() => ({ kind: "no_reply" as const }));
       const result = await Promise.race([word, silence]);
       await interleaving.pause(`hears '${result.kind}' of ${requestId}`);
       return result;
--- a/packages/daemon/src/claim_owners.ts
+++ b/packages/daemon/src/claim_owners.ts
@@ -34,15 +34,15 @@
     question: ClaimQuestion,
   ): Promise<OwnerReply> {
     const member = membership.peers().find(({ record }) => record.id === owner);
-    if (!member || member.record.left) return { kind: "gone" };
+    if (!member || member.record.left) return { kind: "process_ended" };
     const result = await peers.call(member.record.peer, METHOD, {
       params: question,
       timeoutMs: question.waitMs + REPLY_MS,
     });
-    if (result.kind === "refused") return { kind: "gone" };
-    if (result.kind !== "ok") return { kind: "silent" };
+    if (result.kind === "refused") return { kind: "process_ended" };
+    if (result.kind !== "ok") return { kind: "no_reply" };
     const parsed = claimStatusSchema.safeParse(result.value);
-    return parsed.success ? parsed.data : { kind: "silent" };
+    return parsed.success ? parsed.data : { kind: "no_reply" };
   }
 
   return {
--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -265,7 +265,7 @@
       engines,
       parked: engines,
       recoveries: createRecoveryLimiter({ metrics }),
-      links: createLinkSpeeds(),
+      linkSpeeds: createLinkSpeeds(),
       metrics,
     },
     callService: services.call,
@@ -294,7 +294,9 @@
       const stopAccepting = closeGracefully(callerServer);
       const cutAt = performance.now() + settings.shutdownGraceMs;
       const answered = await work.waitForEnd(settings.shutdownGraceMs);
-      const recorded = await services.finishEnds(cutAt - performance.now());
+      const recorded = await services.finishRecording(
+        cutAt - performance.now(),
+      );
       // The goodbye is evidence that this instance answers nothing any more,
       // so it comes after the last connection.
       const rested = await closeRest(callerServer, {
--- a/packages/daemon/src/plain_services.ts
+++ b/packages/daemon/src/plain_services.ts
@@ -43,7 +43,7 @@
     incarnation,
     store,
   });
-  const ends = createResultRecorder({ claims });
+  const resultRecorder = createResultRecorder({ claims });
   const call = createServiceCaller({
     keeper: options.keeper,
     services,
@@ -53,7 +53,7 @@
     owners: createPeerClaimOwners({ id, membership, peers, registry }),
     failureDomain,
     metrics: options.metrics,
-    resultRecorder: ends,
+    resultRecorder,
   });
   const sweeper = createClaimSweeper({
     deployment,
@@ -74,11 +74,16 @@
     /** What peers ask about calls that this instance claimed. */
     peerMethods: {
       ...claimOwnerMethods(registry),
-      ...resultHandOverMethods(ends),
+      ...resultHandOverMethods(resultRecorder),
     },
     /** Resolves to whether no call result is lost with this instance. */
-    finishEnds: (withinMs: number) =>
-      finishRecording({ ends, membership, peers, withinMs }),
+    finishRecording: (withinMs: number) =>
+      finishRecording({
+        recorder: resultRecorder,
+        membership,
+        peers,
+        withinMs,
+      }),
     stop(): void {
       fleet.stop();
       sweeper.stop();
--- a/packages/daemon/src/result_hand_over.ts
+++ b/packages/daemon/src/result_hand_over.ts
@@ -15,7 +15,7 @@
 const log = createLogger("claims");
 
 export interface ResultHandOverOptions {
-  readonly ends: ResultRecorder;
+  readonly recorder: ResultRecorder;
   readonly membership: Pick<Membership, "peers">;
   readonly peers: PeerCaller;
 }
@@ -32,17 +32,19 @@
 export async function finishRecording(
   options: ResultHandOverOptions & { readonly withinMs: number },
 ): Promise<boolean> {
-  const { ends, withinMs } = options;
+  const { recorder, withinMs } = options;
   const deadline = performance.now() + withinMs;
-  await ends.finish(Math.min(RECORDING_TIMEOUT_MS, withinMs));
-  while (ends.count() > 0 && performance.now() < deadline) {
-    const before = ends.count();
-    const left = await ends.handOver((result) => sendToPeer(result, options));
+  await recorder.finish(Math.min(RECORDING_TIMEOUT_MS, withinMs));
+  while (recorder.count() > 0 && performance.now() < deadline) {
+    const before = recorder.count();
+    const left = await recorder.handOver((result) =>
+      sendToPeer(result, options),
+    );
     log.info("ends_handed_over", { given: before - left, left });
-    if (left > 0) await ends.finish(RETRY_DELAY_MS);
+    if (left > 0) await recorder.finish(RETRY_DELAY_MS);
   }
-  if (ends.count() > 0) log.warn("ends_lost", { count: ends.count() });
-  return ends.count() === 0;
+  if (recorder.count() > 0) log.warn("ends_lost", { count: recorder.count() });
+  return recorder.count() === 0;
 }
 
 /** Offers a result to the instances that keep running, one at a time. */
@@ -63,9 +65,9 @@
 }
 
 /** RPC method by which peers hand their results over to this instance. */
-export function resultHandOverMethods(ends: ResultRecorder) {
+export function resultHandOverMethods(recorder: ResultRecorder) {
   return {
     [METHOD]: (params: unknown) =>
-      ends.adopt(claimResultRecordSchema.parse(params)),
+      recorder.adopt(claimResultRecordSchema.parse(params)),
   };
 }
--- a/packages/daemon/src/result_hand_over_test.ts
+++ b/packages/daemon/src/result_hand_over_test.ts
@@ -26,15 +26,17 @@
       },
     },
   });
-  const ends = createResultRecorder({ claims: { settle: async () => false } });
-  ends.record(
+  const recorder = createResultRecorder({
+    claims: { settle: async () => false },
+  });
+  recorder.record(
     { key: "claims/r1", object: CLAIM, version: 1 },
     { kind: "unknown", reason: "reset" },
   );
   const methods = resultHandOverMethods(remaining);
   let isFirstSilent = false;
   const options = {
-    ends,
+    recorder,
     membership: { peers: () => members },
     peers: {
       async call(
@@ -55,7 +57,7 @@
   const silenceFirst = () => {
     isFirstSilent = true;
   };
-  return { recorded, asked, ends, options, silenceFirst };
+  return { recorded, asked, recorder, options, silenceFirst };
 }
 
 describe("a planned stop in a store outage", () => {
@@ -95,8 +97,8 @@
   });
 
   it("reports a result that no instance accepts within the grace period", async () => {
-    const { ends, options } = createStopping([fakeMember(1, true)]);
+    const { recorder, options } = createStopping([fakeMember(1, true)]);
     expect(await stop(options)).toBe(false);
-    expect(ends.count()).toBe(1);
+    expect(recorder.count()).toBe(1);
   });
 });
