--- a/packages/daemon/src/result_hand_over_test.ts
+++ b/packages/daemon/src/result_hand_over_test.ts
@@ -34,7 +34,7 @@
     { kind: "unknown", reason: "reset" },
   );
   const methods = resultHandOverMethods(remaining);
-  let isFirstSilent = false;
+  let isFirstUnreachable = false;
   const options = {
     recorder,
     membership: { peers: () => members },
@@ -45,8 +45,8 @@
         { params }: { params?: unknown } = {},
       ): Promise<PeerResult> {
         asked.push(port);
-        if (isFirstSilent && asked.length === 1) {
-          return { kind: "unreachable", detail: "silent" };
+        if (isFirstUnreachable && asked.length === 1) {
+          return { kind: "unreachable", detail: "no reply" };
         }
         const handler = methods[method as keyof typeof methods];
         return { kind: "ok", value: handler(params) };
@@ -54,10 +54,10 @@
     },
     withinMs: 30_000,
   };
-  const silenceFirst = () => {
-    isFirstSilent = true;
+  const makeFirstUnreachable = () => {
+    isFirstUnreachable = true;
   };
-  return { recorded, asked, recorder, options, silenceFirst };
+  return { recorded, asked, recorder, options, makeFirstUnreachable };
 }
 
 describe("a planned stop in a store outage", () => {
@@ -87,11 +87,11 @@
   });
 
   it("tries the next instance when one does not respond", async () => {
-    const { recorded, asked, options, silenceFirst } = createStopping([
+    const { recorded, asked, options, makeFirstUnreachable } = createStopping([
       fakeMember(1),
       fakeMember(2),
     ]);
-    silenceFirst();
+    makeFirstUnreachable();
     expect(await stop(options)).toBe(true);
     expect([recorded, asked]).toEqual([["claims/r1"], [1, 2]]);
   });
