--- a/packages/calls/src/answer_liveness.ts
+++ b/packages/calls/src/answer_liveness.ts
@@ -29,7 +29,7 @@
 /** Multiple of the average gap between tokens that counts as silence. */
 const SILENCE_GAP_FACTOR = 5;
 const GAP_SMOOTHING_FACTOR = 0.2;
-/** Minimum time that other engines get to respond after a probe response. */
+/** Minimum time for busy engines to respond after another one's response. */
 const MIN_PROBE_GRACE_MS = 80;
 const PROBE_GRACE_FACTOR = 10;
 
--- a/packages/calls/src/answer_resume.ts
+++ b/packages/calls/src/answer_resume.ts
@@ -13,6 +13,7 @@
   withdrawnBy,
 } from "./call_failure.ts";
 
+/** Short, since the answer is lost and waiting longer cannot recover it. */
 const LOST_ANSWER_RETRY_SECONDS = 1;
 const NO_NOTE_RETRY_SECONDS = 2;
 const EVENT_ID = /^([0-9a-zA-Z-]{1,64})@([0-9a-zA-Z._-]{1,63}):(\d{1,6})$/;
--- a/packages/calls/src/claim_registry.ts
+++ b/packages/calls/src/claim_registry.ts
@@ -20,7 +20,7 @@
   markSending(requestId: string): void;
   /** Ends the call as one that was not and will not be sent. */
   settleNeverSent(requestId: string): void;
-  /** Ends the call with the state that its claim gets. */
+  /** Ends the call with the state of its claim; keeps an earlier end. */
   settle(requestId: string, state: ClaimState): void;
   /**
    * Ends the call if it still counts as running, for example after an
