--- a/packages/calls/src/answer_migration.ts
+++ b/packages/calls/src/answer_migration.ts
@@ -13,7 +13,10 @@
 
 /** Thresholds for migrating an answer. */
 export interface MigrationLimits {
-  /** Minimum expected remaining time or gain for a migration. */
+  /**
+   * Minimum benefit of a migration: the expected remaining time of the answer
+   * for a leaving engine, the expected saved time for a slow one.
+   */
   readonly minBenefitMs: number;
   /** Excess over the typical send time from which a link counts as slow. */
   readonly slowLinkMs: number;
@@ -62,7 +65,7 @@
   readonly router: Pick<Router, "acquire">;
   readonly recoveries: RecoveryLimiter;
   readonly pace: TokenPace;
-  readonly moves: MigrationLimits;
+  readonly migrationLimits: MigrationLimits;
 }
 
 /**
@@ -73,7 +76,8 @@
  * none are free isn't interrupted.
  */
 export function createMigrator(options: MigratorOptions): Migrator {
-  const { request, attempt, progress, fleet, router, pace, moves } = options;
+  const { request, attempt, progress, fleet, router, pace, migrationLimits } =
+    options;
   const stopped = new AbortController();
   const { signal } = stopped;
   let lastCheckAt = performance.now();
@@ -87,7 +91,8 @@
       return migration;
     }
     const now = performance.now();
-    if (isPreparing || now - lastCheckAt < moves.checkIntervalMs) return null;
+    if (isPreparing || now - lastCheckAt < migrationLimits.checkIntervalMs)
+      return null;
     lastCheckAt = now;
     const plan = findMigrationSources(fleet.engines(), {
       ...attempt,
@@ -100,7 +105,7 @@
   function estimateRemaining() {
     const remainingTokens = request.maxTokens - progress.deliveredTokens.length;
     const remainingMs = remainingTokens * (pace.averageGapMs() ?? 0);
-    const { minBenefitMs, slowLinkMs } = moves;
+    const { minBenefitMs, slowLinkMs } = migrationLimits;
     return { remainingTokens, remainingMs, minBenefitMs, slowLinkMs };
   }
 
--- a/packages/calls/src/claim_owners.ts
+++ b/packages/calls/src/claim_owners.ts
@@ -1,16 +1,16 @@
 /** Queries to the process that made a claim, about the state of its call. */
-import type { ClaimObject, ClaimWord } from "@rosemarypin/schemas";
+import type { ClaimObject, ClaimStatus } from "@rosemarypin/schemas";
 
 /** The owner's reply, or why there is none. */
 export type OwnerReply =
-  | ClaimWord
+  | ClaimStatus
   /** The process that made the claim has ended. */
-  | { readonly kind: "gone" }
+  | { readonly kind: "process_ended" }
   /**
    * The owner did not reply. It may be frozen or partitioned and may still
    * send the call later.
    */
-  | { readonly kind: "silent" };
+  | { readonly kind: "no_reply" };
 
 /** Queries owners of claims, including this process. */
 export interface ClaimOwners {
