--- a/packages/telemetry/src/event_catalogue.ts
+++ b/packages/telemetry/src/event_catalogue.ts
@@ -1,15 +1,15 @@
 /**
- * Every event that a log line can name, with its fields. The page of events
- * for operators is made from it, and the compiler holds lines to it.
+ * Catalogue of all log events with their fields. The operators' page of events
+ * is generated from it, and the compiler checks every log call against it.
  */
 
 export interface LogEvent {
-  /** What the line says. */
+  /** What the event means, for operators. */
   readonly says: string;
   readonly fields: readonly string[];
 }
 
-/** Events by the part of the system that they tell of. */
+/** Events, grouped by the part of the system that they concern. */
 export const EVENT_GROUPS = {
   "Start, stop and settings": {
     started: {
@@ -405,10 +405,10 @@
   ? All
   : never;
 
-/** Name of an event. */
+/** Names of all events. */
 export type EventName = keyof Events & string;
 
-/** Names of an event's fields. */
+/** Names of the fields of an event. */
 export type EventField<Name extends EventName> = Events[Name] extends {
   readonly fields: readonly (infer Field extends string)[];
 }
@@ -420,7 +420,7 @@
   Object.values(EVENT_GROUPS).flatMap((group) => Object.entries(group)),
 );
 
-/** The page of events for operators, in Markdown. */
+/** Renders the operators' page of events as Markdown. */
 export function renderEventPage(): string {
   const groups = Object.entries(EVENT_GROUPS).map(
     ([title, events]) => `## ${title}\n\n${renderTable(events)}\n`,
@@ -430,7 +430,7 @@
   return [head, ...groups].join("\n");
 }
 
-/** Columns are as wide as their widest cell, as the formatter has them. */
+/** Pads each column to its widest cell, as the Markdown formatter does. */
 function renderTable(events: Readonly<Record<string, LogEvent>>): string {
   const titles = ["event", "says", "fields"];
   const rows = Object.entries(events).map(([name, { says, fields }]) => [
--- a/packages/telemetry/src/line_writer.ts
+++ b/packages/telemetry/src/line_writer.ts
@@ -1,90 +1,90 @@
-/** Writes log lines without ever holding up the process. */
+/** Writes log lines without blocking the process. */
 import { write } from "node:fs";
 
-/** Lines that wait to be written take at most so many bytes. */
-const MOST_WAITING_BYTES = 256 * 1024;
+/** Maximum size of the lines that wait to be written. */
+const MAX_PENDING_BYTES = 256 * 1024;
 /**
- * Of these, ordinary lines may take so many; the rest is kept for warnings,
- * so that the cause of a refusal is not lost among lines of normal running.
+ * Ordinary lines are dropped beyond this limit. The rest is reserved for
+ * warnings, so that the cause of a refusal is not lost among other lines.
  */
-const MOST_ORDINARY_BYTES = 160 * 1024;
-/** Pause before a descriptor that takes nothing is tried again. */
-const RETRY_MS = 50;
+const MAX_ORDINARY_BYTES = 160 * 1024;
+/** Delay before a write that failed with `EAGAIN` is retried. */
+const RETRY_DELAY_MS = 50;
 
-/** Writes to a file descriptor; as `write` of `node:fs`, for tests. */
+/** Writes to a file descriptor, with the callback of `write` of `node:fs`. */
 export type WriteBytes = (
   bytes: Buffer,
   done: (error: NodeJS.ErrnoException | null, written: number) => void,
 ) => void;
 
 export interface LineWriter {
-  /** Takes a line in, or counts it as left out when too much waits. */
+  /** Queues a line, or drops and counts it if the limit is reached. */
   line(text: string, options: { readonly isWarning: boolean }): void;
-  /** Resolves when all is written, or after the time. */
-  flush(longestMs: number): Promise<void>;
+  /** Resolves when all lines are written, or after the timeout. */
+  flush(timeoutMs: number): Promise<void>;
 }
 
 /**
- * Creates a writer to standard output. Node writes to a pipe synchronously:
- * when its reader stands still, the pipe fills up after 64 KB and the next
- * line stops the whole process, with every answer in progress. Here one write
- * at a time goes through the thread pool; what comes meanwhile waits within a
- * bound, and a line tells how many were left out beyond it.
+ * Creates a writer to standard output. Node writes to a pipe synchronously: if
+ * the reader hangs, the pipe fills up after 64 KB and the next line blocks the
+ * whole process, with every answer in progress. This writer runs one write at a
+ * time on the thread pool and queues other lines up to a limit. A line reports
+ * how many were dropped.
  */
 export function createLineWriter(
   writeBytes: WriteBytes = (bytes, done) => write(1, bytes, done),
 ): LineWriter {
-  let waiting: string[] = [];
-  let waitingBytes = 0;
-  let leftOut = 0;
+  let pending: string[] = [];
+  let pendingBytes = 0;
+  let droppedLines = 0;
   let isWriting = false;
 
-  function pump(): void {
-    if (isWriting || waiting.length === 0) return;
-    if (leftOut > 0) {
-      waiting.push(`event=lines_left_out count=${leftOut}\n`);
-      leftOut = 0;
+  function writePending(): void {
+    if (isWriting || pending.length === 0) return;
+    if (droppedLines > 0) {
+      pending.push(`event=lines_left_out count=${droppedLines}\n`);
+      droppedLines = 0;
     }
-    const bytes = Buffer.from(waiting.join(""));
-    waiting = [];
-    waitingBytes = 0;
+    const bytes = Buffer.from(pending.join(""));
+    pending = [];
+    pendingBytes = 0;
     send(bytes);
   }
 
   function send(bytes: Buffer): void {
     isWriting = true;
     writeBytes(bytes, (error, written) => {
-      // The reader takes nothing at the moment; anything else is final, as
-      // nobody is left to read.
+      // `EAGAIN` means that the pipe is full. Any other error is final, as the
+      // reader has closed the pipe, and the bytes are dropped.
       const isBusy = error?.code === "EAGAIN";
-      const rest = error ? bytes : bytes.subarray(written);
+      const remaining = error ? bytes : bytes.subarray(written);
       if (isBusy) {
-        setTimeout(() => send(rest), RETRY_MS);
+        setTimeout(() => send(remaining), RETRY_DELAY_MS);
         return;
       }
-      if (!error && rest.length > 0) return send(rest);
+      if (!error && remaining.length > 0) return send(remaining);
       isWriting = false;
-      pump();
+      writePending();
     });
   }
 
   return {
     line(text, { isWarning }) {
-      const most = isWarning ? MOST_WAITING_BYTES : MOST_ORDINARY_BYTES;
-      if (waitingBytes + text.length > most) {
-        leftOut += 1;
+      const maxBytes = isWarning ? MAX_PENDING_BYTES : MAX_ORDINARY_BYTES;
+      if (pendingBytes + text.length > maxBytes) {
+        droppedLines += 1;
         return;
       }
-      waiting.push(text);
-      waitingBytes += text.length;
-      // Lines of one turn of the event loop go out in one write.
-      if (!isWriting && waiting.length === 1) setImmediate(pump);
+      pending.push(text);
+      pendingBytes += text.length;
+      // Lines of one turn of the event loop are combined into one write.
+      if (!isWriting && pending.length === 1) setImmediate(writePending);
     },
-    async flush(longestMs) {
-      const endsAt = performance.now() + longestMs;
-      while (isWriting || waiting.length > 0) {
-        if (performance.now() > endsAt) return;
-        pump();
+    async flush(timeoutMs) {
+      const deadline = performance.now() + timeoutMs;
+      while (isWriting || pending.length > 0) {
+        if (performance.now() > deadline) return;
+        writePending();
         await new Promise((resolve) => setTimeout(resolve, 5));
       }
     },
--- a/packages/telemetry/src/line_writer_test.ts
+++ b/packages/telemetry/src/line_writer_test.ts
@@ -1,7 +1,7 @@
 import { describe, expect, it } from "vitest";
 import { createLineWriter, type WriteBytes } from "./line_writer.ts";
 
-/** A descriptor whose reader reads when the test says so. */
+/** Creates a writer to a fake descriptor that completes a write per `read`. */
 function setUp() {
   const written: string[] = [];
   const pending: (() => void)[] = [];
@@ -25,8 +25,8 @@
 const ordinary = { isWarning: false };
 const warning = { isWarning: true };
 
-describe("a writer of log lines", () => {
-  it("writes lines of one turn together, in order", async () => {
+describe("log line writer", () => {
+  it("writes the lines of one turn together and in order", async () => {
     const { writer, text, read } = setUp();
     writer.line("a\n", ordinary);
     writer.line("b\n", warning);
@@ -34,9 +34,9 @@
     expect(text()).toBe("a\nb\n");
   });
 
-  it("takes lines in at once, and a bounded number, while nobody reads", async () => {
-    // The log collector hangs. The pipe is full, and a process that waits for
-    // it answers nobody any more; one that keeps every line runs out of memory.
+  it("queues a bounded number of lines while the reader hangs", async () => {
+    // If the log collector hangs, the pipe fills up. A process that waits for
+    // it stops answering; one that keeps every line runs out of memory.
     const { writer, text, read } = setUp();
     const line = `${"x".repeat(99)}\n`;
     for (let count = 0; count < 20_000; count += 1) writer.line(line, ordinary);
@@ -51,7 +51,7 @@
     expect(counted + kept).toBe(20_000);
   });
 
-  it("goes on after a descriptor that was busy", async () => {
+  it("retries a write that failed with EAGAIN", async () => {
     let isBusy = true;
     const written: string[] = [];
     const writer = createLineWriter((bytes, done) => {
--- a/packages/telemetry/src/log.ts
+++ b/packages/telemetry/src/log.ts
@@ -1,30 +1,30 @@
-/** One line of key=value pairs for each event, through `debug`. */
+/** Logs each event as one line of key=value pairs through `debug`. */
 import { format } from "node:util";
 import debug from "debug";
 import type { EventField, EventName } from "./event_catalogue.ts";
 import { createLineWriter, type LineWriter } from "./line_writer.ts";
 
-/** A value that a log line can carry. */
+/** Value of a field; a field that is `undefined` is omitted. */
 export type LogValue = string | number | boolean | undefined;
 
-/** Fields of one event; those without a value are left out of the line. */
+/** Fields of an event; all are optional. */
 export type LogFields<Name extends EventName> = {
   readonly [Field in EventField<Name>]?: LogValue;
 };
 
-/** Writes one event; which there are, and their fields, the catalogue says. */
+/** Logs one event of the catalogue. */
 export type WriteEvent = <Name extends EventName>(
   event: Name,
   fields?: LogFields<Name>,
 ) => void;
 
-/** Writes events of one part of the program. */
+/** Logs the events of one scope. */
 export interface Logger {
-  /** Something worth keeping in normal running. */
+  /** Logs an event of normal operation. */
   readonly info: WriteEvent;
-  /** Something an operator should look at. */
+  /** Logs an event that may need an operator's attention. */
   readonly warn: WriteEvent;
-  /** Detail for tracing; off unless `DEBUG` asks for it. */
+  /** Logs an event for debugging; off unless `DEBUG` enables it. */
   readonly detail: WriteEvent;
 }
 
@@ -35,8 +35,8 @@
 };
 
 /**
- * Creates the logger of one scope, such as `release`. The level is part of
- * the namespace, so `DEBUG=rosemarypin:*:detail` turns on all detail.
+ * Creates the logger of a scope such as `release`. The level is part of the
+ * namespace, so `DEBUG=rosemarypin:*:detail` enables this level in all scopes.
  */
 export function createLogger(scope: string): Logger {
   const info = debug(`${NAMESPACE}:${scope}:info`);
@@ -49,13 +49,13 @@
   };
 }
 
-/** Turns on info and warnings, unless `DEBUG` already chose. */
+/** Enables info and warnings in all scopes, unless `DEBUG` is set. */
 export function enableDefaultLogs(): void {
   if (process.env.DEBUG) return;
   debug.enable(`${NAMESPACE}:*:info,${NAMESPACE}:*:warn`);
 }
 
-/** Sends all lines to standard output, where they can hold nothing up. */
+/** Writes all log lines to standard output without blocking the process. */
 export function writeLogsToOutput(): LineWriter {
   const writer = createLineWriter();
   debug.log = (...args: unknown[]) => {
@@ -75,7 +75,7 @@
   return [`event=${event}`, ...pairs].join(" ");
 }
 
-/** Quotes what would break the line into other pairs. */
+/** Quotes a value that would otherwise be read as several pairs or lines. */
 function formatValue(value: LogValue): string {
   const text = String(value);
   return /^[^\s"=]+$/.test(text) ? text : JSON.stringify(text);
--- a/packages/telemetry/src/log_test.ts
+++ b/packages/telemetry/src/log_test.ts
@@ -19,9 +19,9 @@
   debug.disable();
 });
 
-describe("a log line", () => {
-  it("is one line of pairs, whatever the values", () => {
-    // Made up: the catalogue holds lines of the product, and not this one.
+describe("logger", () => {
+  it("writes one line of pairs for any values", () => {
+    // The cast allows an event and fields that are not in the catalogue.
     const write = createLogger("test").info as (...line: unknown[]) => void;
     write("happened", {
       plain: "a-b.c",
@@ -41,7 +41,7 @@
     );
   });
 
-  it("names an event and fields of the catalogue only", () => {
+  it("accepts only events and fields of the catalogue", () => {
     const log = createLogger("test");
     log.info("server_back", { id: "e", after_ms: 150 });
     // @ts-expect-error: no such event
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,8 +1,4 @@
-/**
- * Metrics of the daemon; names and units stand in docs/OPERATIONS.md. No
- * label names an organisation: 6,400 of them with 16 models would make
- * millions of series. The service levels count those, within a bound.
- */
+/** Metrics of the daemon; docs/OPERATIONS.md lists names and units. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
 const SECONDS_BUCKETS = [
@@ -11,10 +7,10 @@
 ];
 
 /**
- * Creates the metrics of one daemon, in a registry of their own. No label names
- * an organisation: with 6,400 of them and 16 models, the two histograms alone
- * would have 204,800 series of 19 numbers in each instance. Organisations are
- * counted by `createServiceLevels`, which bounds its series.
+ * Creates the metrics of one daemon in their own registry. No label names an
+ * organisation: with 6,400 organisations and 16 models, two histograms alone
+ * would have 204,800 series of 19 numbers in each instance.
+ * `createServiceLevels` counts by organisation and limits its series.
  */
 export function createMetrics() {
   const registry = new Registry();
--- a/packages/telemetry/src/metrics_test.ts
+++ b/packages/telemetry/src/metrics_test.ts
@@ -8,24 +8,24 @@
   "utf8",
 );
 
-describe("docs/OPERATIONS.md", () => {
+describe("metrics in docs/OPERATIONS.md", () => {
   const metrics = createMetrics().registry.getMetricsAsArray();
 
-  it.each(metrics.map(({ name }) => name))("lists %s", (name) => {
+  it.each(metrics.map(({ name }) => name))("include %s", (name) => {
     expect(page).toContain(`\`${name}\``);
   });
 
-  it("lists no metric that is not there", () => {
+  it("include no metric that does not exist", () => {
     const names = new Set(metrics.map(({ name }) => name));
     const listed = [...page.matchAll(/^\| `(rosemarypin_\w+)`/gm)];
     for (const [, name = ""] of listed) expect(names).toContain(name);
   });
 });
 
-it("no metric has a label that grows with the organisations", () => {
-  // A label of an organisation makes a series for each of 6,400, in each
-  // histogram and for each model: the page grows to megabytes, and scraping
-  // it holds up answers.
+it("metrics have no label for the organisation", () => {
+  // Such a label creates a series per organisation (6,400), model and
+  // histogram. The metrics response grows to megabytes, and producing it
+  // delays answers.
   for (const metric of createMetrics().registry.getMetricsAsArray()) {
     const { labelNames } = metric as unknown as { labelNames: string[] };
     expect(labelNames).not.toContain("organisation");
--- a/packages/telemetry/src/service_levels.ts
+++ b/packages/telemetry/src/service_levels.ts
@@ -1,4 +1,4 @@
-/** Windowed counts of events that met or missed their objective. */
+/** Counts events that met or missed their objective in sliding windows. */
 import {
   type EventCount,
   type LevelSeries,
@@ -9,22 +9,22 @@
 } from "@rosemarypin/schemas";
 
 const MINUTE_MS = 60_000;
-/** Minutes of the slow window; one more slot is being filled. */
+/** Length of the slow window, the current minute included. */
 const SLOW_MINUTES = 60;
 const FAST_MINUTES = 5;
-/** Series that one instance keeps; 1.6 MB by measurement. */
-const LARGEST_SERIES_COUNT = 1_024;
-/** Series that stay when room has to be made. */
-const KEPT_SERIES_COUNT = 768;
+/** Maximum number of series of an instance; they take 1.6 MB. */
+const MAX_SERIES_COUNT = 1_024;
+/** Largest series that are kept when the maximum is reached. */
+const SERIES_COUNT_AFTER_MERGE = 768;
 
-/** What an event belongs to. */
+/** Identifies the series that an event is counted in. */
 export interface LevelKey {
   readonly objective: Objective;
   readonly organisation: string;
   readonly name: string;
 }
 
-/** Counts events; forgets them after the slow window. */
+/** Counts events and discards them after the slow window. */
 export interface ServiceLevelCounter {
   count(key: LevelKey, met: boolean): void;
   read(): ServiceLevels;
@@ -40,7 +40,7 @@
   readonly window: MinuteWindow;
 }
 
-/** Creates a counter with nothing in it. */
+/** Creates an empty counter. */
 export function createServiceLevels(
   options: ServiceLevelOptions,
 ): ServiceLevelCounter {
@@ -48,35 +48,35 @@
   const series = new Map<string, Series>();
   const totals = createTotals();
 
-  function seriesOf(key: LevelKey): Series {
-    const id = idOf(key);
-    const known = series.get(id);
-    if (known) return known;
-    if (series.size >= LARGEST_SERIES_COUNT) makeRoom();
+  function getOrAddSeries(key: LevelKey): Series {
+    const id = seriesIdOf(key);
+    const existing = series.get(id);
+    if (existing) return existing;
+    if (series.size >= MAX_SERIES_COUNT) mergeSmallestSeries();
     return add(key);
   }
 
   function add(key: LevelKey): Series {
     const added = { ...key, window: createMinuteWindow() };
-    series.set(idOf(key), added);
+    series.set(seriesIdOf(key), added);
     return added;
   }
 
   /**
-   * 6,400 organisations and 16 models could make a hundred thousand series.
-   * The smallest go into the rest, so that the largest, and any that begins
-   * now, have counts of their own and nothing is lost from the sums.
+   * Merges the smallest series into a common one per objective, as 6,400
+   * organisations and 16 models could create a hundred thousand series. The
+   * largest keep separate counts, new ones get them, and no event is lost.
    */
-  function makeRoom(): void {
+  function mergeSmallestSeries(): void {
     const bySize = [...series.values()]
       .filter(({ organisation }) => organisation !== REST)
       .map((entry) => ({ entry, size: entry.window.sum(SLOW_MINUTES).total }))
       .sort((a, b) => b.size - a.size);
-    for (const { entry } of bySize.slice(KEPT_SERIES_COUNT)) {
-      series.delete(idOf(entry));
+    for (const { entry } of bySize.slice(SERIES_COUNT_AFTER_MERGE)) {
+      series.delete(seriesIdOf(entry));
       const key = { ...entry, organisation: REST, name: REST };
-      const rest = series.get(idOf(key)) ?? add(key);
-      rest.window.addAll(entry.window);
+      const mergedSeries = series.get(seriesIdOf(key)) ?? add(key);
+      mergedSeries.window.addAll(entry.window);
     }
   }
 
@@ -94,15 +94,15 @@
 
   return {
     count(key, met) {
-      seriesOf(key).window.add(met);
+      getOrAddSeries(key).window.add(met);
       totals[key.objective].add(met);
     },
     read() {
-      const elapsed = (performance.now() - startedAt) / 1_000;
+      const elapsedSeconds = (performance.now() - startedAt) / 1_000;
       return {
         instance: options.instance,
         failureDomain: options.failureDomain,
-        countedSeconds: Math.min(elapsed, SLOW_MINUTES * 60),
+        countedSeconds: Math.min(elapsedSeconds, SLOW_MINUTES * 60),
         targets: { ...options.targets },
         series: readSeries(),
         minutes: {
@@ -116,13 +116,14 @@
   };
 }
 
-/** Counts of the last minutes, in a ring. */
+/** Counts per minute of the slow window, in a ring buffer. */
 interface MinuteWindow {
   add(met: boolean): void;
+  /** Adds the counts of another window minute by minute. */
   addAll(other: MinuteWindow): void;
-  /** Counts of the last minutes, the one in progress included. */
+  /** Sum of the last `minutes` minutes, the current one included. */
   sum(minutes: number): EventCount;
-  /** Counts by minute, the oldest first. */
+  /** Counts per minute of the slow window, oldest first. */
   minutes(): EventCount[];
 }
 
@@ -131,7 +132,7 @@
   const missed = new Uint32Array(SLOW_MINUTES);
   let latest = currentMinute();
 
-  /** Empties the slots of minutes that passed with no event. */
+  /** Clears the slots of the minutes that began since the last call. */
   function advance(): void {
     const now = currentMinute();
     const passed = Math.min(now - latest, SLOW_MINUTES);
@@ -143,7 +144,7 @@
     latest = Math.max(latest, now);
   }
 
-  function at(minutesAgo: number): EventCount {
+  function countsAt(minutesAgo: number): EventCount {
     const slot = (latest - minutesAgo) % SLOW_MINUTES;
     return { total: total[slot] ?? 0, missed: missed[slot] ?? 0 };
   }
@@ -154,9 +155,11 @@
     missed[slot] = (missed[slot] ?? 0) + counts.missed;
   }
 
-  function list(minutes: number): EventCount[] {
+  function readLatestMinutes(minutes: number): EventCount[] {
     advance();
-    return Array.from({ length: minutes }, (_, ago) => at(ago));
+    return Array.from({ length: minutes }, (_, minutesAgo) =>
+      countsAt(minutesAgo),
+    );
   }
 
   return {
@@ -167,20 +170,23 @@
     addAll(other) {
       advance();
       const newestFirst = other.minutes().reverse();
-      for (const [ago, counts] of newestFirst.entries()) {
-        addCounts(ago, counts);
+      for (const [minutesAgo, counts] of newestFirst.entries()) {
+        addCounts(minutesAgo, counts);
       }
     },
     sum: (minutes) =>
-      list(minutes).reduce((sum, counts) => ({
+      readLatestMinutes(minutes).reduce((sum, counts) => ({
         total: sum.total + counts.total,
         missed: sum.missed + counts.missed,
       })),
-    minutes: () => list(SLOW_MINUTES).reverse(),
+    minutes: () => readLatestMinutes(SLOW_MINUTES).reverse(),
   };
 }
 
-/** Minutes of a clock that never goes back, from a start that is large. */
+/**
+ * Current minute of a monotonic clock. The offset keeps `latest - minutesAgo`
+ * positive.
+ */
 function currentMinute(): number {
   return SLOW_MINUTES + Math.floor(performance.now() / MINUTE_MS);
 }
@@ -192,6 +198,6 @@
   return Object.fromEntries(entries) as Record<Objective, MinuteWindow>;
 }
 
-function idOf({ objective, organisation, name }: LevelKey): string {
+function seriesIdOf({ objective, organisation, name }: LevelKey): string {
   return `${objective} ${organisation} ${name}`;
 }
--- a/packages/telemetry/src/service_levels_test.ts
+++ b/packages/telemetry/src/service_levels_test.ts
@@ -32,8 +32,8 @@
   name: "assist",
 } as const;
 
-describe("windowed counts", () => {
-  it("leave the fast window after five minutes, the slow one after an hour", () => {
+describe("service level counter", () => {
+  it("drops events from the fast window after five minutes and from the slow one after an hour", () => {
     const levels = create();
     levels.count(key, false);
     vi.advanceTimersByTime(4 * MINUTE_MS);
@@ -51,7 +51,7 @@
     expect(levels.read().series).toEqual([]);
   });
 
-  it("give the minutes with the oldest first", () => {
+  it("returns the counts per minute, oldest first", () => {
     const levels = create();
     levels.count(key, false);
     vi.advanceTimersByTime(2 * MINUTE_MS);
@@ -65,9 +65,9 @@
     ]);
   });
 
-  // 6,400 organisations ask for 16 models over an hour. A series for each
-  // pair would outgrow the memory that control may take on an instance.
-  it("stay bounded, keep the large and lose no event", () => {
+  // If 6,400 organisations use 16 models within an hour, a series for each pair
+  // would exceed the memory limit of the control software on an instance.
+  it("limits the number of series without losing the largest one or any event", () => {
     const levels = create();
     for (let index = 0; index < 10_000; index++) {
       const organisation = `org-${index}`;
