--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -1,8 +1,4 @@
-/**
- * Metrics of the daemon; names and units stand in docs/OPERATIONS.md. No
- * label names an organisation: 6,400 of them with 16 models would make
- * millions of series. The service levels count those, within a bound.
- */
+/** Metrics of the daemon; docs/OPERATIONS.md lists names and units. */
 import { Counter, Gauge, Histogram, Registry } from "prom-client";
 
 const SECONDS_BUCKETS = [
@@ -11,10 +7,10 @@
 ];
 
 /**
- * Creates the metrics of one daemon, in a registry of their own. No label names
- * an organisation: with 6,400 of them and 16 models, the two histograms alone
- * would have 204,800 series of 19 numbers in each instance. Organisations are
- * counted by `createServiceLevels`, which bounds its series.
+ * Creates the metrics of one daemon in their own registry. No label names an
+ * organisation: with 6,400 organisations and 16 models, two histograms alone
+ * would have 204,800 series of 19 numbers in each instance.
+ * `createServiceLevels` counts by organisation and limits its series.
  */
 export function createMetrics() {
   const registry = new Registry();
@@ -23,13 +19,13 @@
     registry,
     requests: new Counter({
       name: "rosemarypin_requests_total",
-      help: "Calls that got their final answer, by kind and outcome",
+      help: "Answers and service calls that ended, by kind, name and outcome",
       labelNames: ["kind", "name", "outcome"] as const,
       registers,
     }),
     firstToken: new Histogram({
       name: "rosemarypin_first_token_seconds",
-      help: "Time from the whole request to the first token",
+      help: "Time from the complete request to the first token",
       labelNames: ["model"] as const,
       buckets: SECONDS_BUCKETS,
       registers,
@@ -43,20 +39,20 @@
     }),
     recoveries: new Counter({
       name: "rosemarypin_recoveries_total",
-      help: "Answers that went on after the loss of a stage",
+      help: "Answers that continued after the loss of a stage",
       labelNames: ["model"] as const,
       registers,
     }),
     recoverySeconds: new Histogram({
       name: "rosemarypin_recovery_seconds",
-      help: "Time from the loss of a stage being seen to the next token",
+      help: "Time from the detection of a lost stage to the next token",
       labelNames: ["model"] as const,
       buckets: SECONDS_BUCKETS,
       registers,
     }),
     recoveriesWaiting: new Gauge({
       name: "rosemarypin_recoveries_waiting",
-      help: "Answers that wait for their turn to recover",
+      help: "Answers that wait for a recovery slot",
       registers,
     }),
     noteNumber: new Gauge({
@@ -66,19 +62,19 @@
     }),
     noteApplyDelay: new Histogram({
       name: "rosemarypin_note_apply_seconds",
-      help: "Time from a note's recording to its use here, by both clocks",
+      help: "Time from recording a release note to applying it, by wall clocks",
       buckets: SECONDS_BUCKETS,
       registers,
     }),
     claims: new Counter({
       name: "rosemarypin_claims_total",
-      help: "Claims of calls that must not be repeated, by what became of them",
+      help: "Claims of calls that must not be repeated, by result",
       labelNames: ["service", "result"] as const,
       registers,
     }),
     limited: new Counter({
       name: "rosemarypin_limited_total",
-      help: "Requests refused since their organisation is beyond its limits",
+      help: "Requests refused because their organisation exceeded its limits",
       registers,
     }),
     storeCalls: new Counter({
@@ -89,19 +85,19 @@
     }),
     peerBytes: new Counter({
       name: "rosemarypin_peer_bytes_total",
-      help: "Bytes of datagrams between instances with headers, by direction",
+      help: "Bytes of datagrams between instances, headers included, by direction",
       labelNames: ["direction"] as const,
       registers,
     }),
     peerDatagramsDropped: new Counter({
       name: "rosemarypin_peer_datagrams_dropped_total",
-      help: "Datagrams that were not taken in, by reason",
+      help: "Datagrams that were rejected, by reason",
       labelNames: ["reason"] as const,
       registers,
     }),
     peers: new Gauge({
       name: "rosemarypin_peers",
-      help: "Known instances other than this one, by state",
+      help: "Other instances in the member list, by state",
       labelNames: ["state"] as const,
       registers,
     }),
@@ -112,7 +108,7 @@
     }),
     plannedPipelines: new Gauge({
       name: "rosemarypin_planned_pipelines",
-      help: "Pipelines that the holder of a domain's lease plans, by model",
+      help: "Pipelines planned by the holder of a domain's lease, by model",
       labelNames: ["domain", "model"] as const,
       registers,
     }),
