--- a/packages/timing/src/alarm_test.ts
+++ b/packages/timing/src/interruptible_timer_test.ts
@@ -1,5 +1,5 @@
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
-import { createInterruptibleTimer } from "./alarm.ts";
+import { createInterruptibleTimer } from "./interruptible_timer.ts";
 
 const RUNNING = new AbortController().signal;
 
--- a/packages/timing/src/mod.ts
+++ b/packages/timing/src/mod.ts
@@ -1,3 +1,3 @@
 /** Delays based on the runtime's timers. */
-export * from "./alarm.ts";
+export * from "./interruptible_timer.ts";
 export * from "./pause.ts";
