--- a/packages/calls/src/answer_resume.ts
+++ b/packages/calls/src/answer_resume.ts
@@ -13,6 +13,7 @@
   withdrawnBy,
 } from "./call_failure.ts";
 
+/** Short, since the answer is lost and waiting longer cannot recover it. */
 const LOST_ANSWER_RETRY_SECONDS = 1;
 const NO_NOTE_RETRY_SECONDS = 2;
 const EVENT_ID = /^([0-9a-zA-Z-]{1,64})@([0-9a-zA-Z._-]{1,63}):(\d{1,6})$/;
@@ -176,8 +177,9 @@
   progress.digest = digest;
   progress.attemptNumber = request.attempt;
   progress.mayHaveRun = true;
-  // A new token proves that each stage had the KV cache. An engine that has
-  // lost it since reports that, and the attempt after it recomputes.
+  // Only an attempt that produced a token proves that its stages have the KV
+  // cache. If an engine has lost its cache since, the next attempt fails there,
+  // and the one after it recomputes.
   if (tokens.length === request.deliveredTokens.length) return progress;
   const incarnations = readIncarnations(options.fleet);
   for (const { engine, layers } of request.stages) {
--- a/packages/daemon/src/plain_services.ts
+++ b/packages/daemon/src/plain_services.ts
@@ -13,7 +13,7 @@
 import { type ObjectStore, readInstanceList } from "@rosemarypin/store";
 import type { Metrics } from "@rosemarypin/telemetry";
 import { claimOwnerMethods, createPeerClaimOwners } from "./claim_owners.ts";
-import { endHandOverMethods, finishEnds } from "./end_hand_over.ts";
+import { finishRecording, resultHandOverMethods } from "./result_hand_over.ts";
 
 const INSTANCE_LIST_EVERY_MS = 1_000;
 
@@ -43,7 +43,7 @@
     incarnation,
     store,
   });
-  const ends = createResultRecorder({ claims });
+  const resultRecorder = createResultRecorder({ claims });
   const call = createServiceCaller({
     keeper: options.keeper,
     services,
@@ -53,7 +53,7 @@
     owners: createPeerClaimOwners({ id, membership, peers, registry }),
     failureDomain,
     metrics: options.metrics,
-    resultRecorder: ends,
+    resultRecorder,
   });
   const sweeper = createClaimSweeper({
     deployment,
@@ -74,11 +74,16 @@
     /** What peers ask about calls that this instance claimed. */
     peerMethods: {
       ...claimOwnerMethods(registry),
-      ...endHandOverMethods(ends),
+      ...resultHandOverMethods(resultRecorder),
     },
-    /** Resolves to whether no end of a call is lost with this instance. */
-    finishEnds: (withinMs: number) =>
-      finishEnds({ ends, membership, peers, withinMs }),
+    /** Resolves to whether no call result is lost with this instance. */
+    finishRecording: (withinMs: number) =>
+      finishRecording({
+        recorder: resultRecorder,
+        membership,
+        peers,
+        withinMs,
+      }),
     stop(): void {
       fleet.stop();
       sweeper.stop();
