--- a/packages/release/src/allowed.ts
+++ b/packages/release/src/allowed.ts
@@ -1,7 +1,8 @@
-/** What a note allows: the question each request asks. */
+/** Decides what a note allows; checked for every request. */
+
 import type { Catalogue, ModelVersion, NoteRecord } from "@rosemarypin/schemas";
 
-/** The answer for one request, with the note that decided. */
+/** The decision for one request; `number` is the note that withdrew it. */
 export type Permission =
   | { readonly kind: "allowed"; readonly version: ModelVersion }
   | {
@@ -12,10 +13,9 @@
   | { readonly kind: "unknown"; readonly what: string };
 
 /**
- * The version that answers new requests for a model and adapter: the first in
- * the note's order of preference whose layers engines hold. A version that a
- * note has just added is still being loaded; until it is, the next one that
- * the note allows answers, instead of nobody.
+ * Chooses the version that answers new requests for a model and adapter: the
+ * first in the note's order of preference whose layers are loaded on engines.
+ * While a newly added version is being loaded, the next allowed one answers.
  */
 export function permitAnswer(
   record: NoteRecord,
@@ -32,14 +32,14 @@
     (name) => model?.versions[name] ?? [],
   );
   const { isLoaded = () => true } = options;
-  // With one version there is nothing to choose, and no need to look.
+  // A single version is chosen without the cost of `isLoaded`.
   const loaded = versions.length > 1 ? versions.find(isLoaded) : undefined;
   const version = loaded ?? versions[0];
   if (version) return { kind: "allowed", version };
   return refuseModel(catalogue, request.model);
 }
 
-/** Whether answers of a version with an adapter may go on. */
+/** Whether a running answer of a version and adapter may continue. */
 export function mayContinue(
   record: NoteRecord,
   answer: {
@@ -55,7 +55,7 @@
   );
 }
 
-/** Whether a plain service may be called. */
+/** Decides whether a service may be called. */
 export function permitService(
   record: NoteRecord,
   service: string,
@@ -66,7 +66,7 @@
     ({ line }) => line.kind === "service" && line.service === service,
   );
   return withdrawal
-    ? { kind: "withdrawn", ...pick(withdrawal) }
+    ? { kind: "withdrawn", ...numberAndReasonOf(withdrawal) }
     : { kind: "unknown", what: `service '${service}'` };
 }
 
@@ -83,7 +83,7 @@
       line.adapter === adapter,
   );
   return withdrawal
-    ? { kind: "withdrawn", ...pick(withdrawal) }
+    ? { kind: "withdrawn", ...numberAndReasonOf(withdrawal) }
     : { kind: "unknown", what: `adapter '${adapter}' of model '${model}'` };
 }
 
@@ -92,10 +92,10 @@
     ({ line }) => line.kind !== "service" && line.model === model,
   );
   return withdrawal
-    ? { kind: "withdrawn", ...pick(withdrawal) }
+    ? { kind: "withdrawn", ...numberAndReasonOf(withdrawal) }
     : { kind: "unknown", what: `model '${model}'` };
 }
 
-function pick(withdrawal: { number: number; reason: string }) {
+function numberAndReasonOf(withdrawal: { number: number; reason: string }) {
   return { number: withdrawal.number, reason: withdrawal.reason };
 }
--- a/packages/release/src/confirmations.ts
+++ b/packages/release/src/confirmations.ts
@@ -1,4 +1,4 @@
-/** What this instance confirms, and how it asks the others. */
+/** Confirms the applied note and requests confirmations from peers. */
 import type {
   Membership,
   PeerCaller,
@@ -12,75 +12,81 @@
   type NoteConfirmation,
   noteConfirmationSchema,
 } from "@rosemarypin/schemas";
-import { digestOf, listKnown } from "./known_instances.ts";
+import { digestInstances, listKnownInstances } from "./known_instances.ts";
 import type { NoteKeeper } from "./note_keeper.ts";
 
 export interface ConfirmerOptions {
   readonly membership: Membership;
   readonly keeper: NoteKeeper;
-  /** Engines that this instance orders now. */
+  /** Engines to which this instance sends orders now. */
   readonly engines: () => readonly EngineConfirmation[];
 }
 
 export interface Confirmer {
-  /** Answers `note.confirm`; without parameters, for itself. */
+  /**
+   * Answers `note.confirm`. Lists the instances known here unless `params`
+   * holds the digest of the same list.
+   */
   confirm(params?: unknown): NoteConfirmation;
+  /** Instances that may still serve, as far as this instance knows. */
   known(): readonly InstanceReference[];
 }
 
 /**
- * Creates the confirmer of one instance. To apply a note is to confirm it:
- * applying cuts the answers that the note no longer allows before it returns,
- * and a lower note is never taken up again by the same process.
+ * Creates the confirmer of one instance. An applied note counts as confirmed:
+ * the keeper has cut the answers that the note no longer allows before it
+ * reports the number, and a process never returns to a lower note.
  */
 export function createConfirmer(options: ConfirmerOptions): Confirmer {
   const { membership, keeper } = options;
 
   function known(): readonly InstanceReference[] {
-    return listKnown(membership, { askers: keeper.askers() });
+    return listKnownInstances(membership, { askers: keeper.askers() });
   }
 
   return {
     known,
     confirm(params) {
       const { id, failureDomain, incarnation } = membership.self();
-      const list = known();
-      const asked = confirmRequestSchema.safeParse(params);
-      const isKnown =
-        asked.success && asked.data.knownDigest === digestOf(list);
+      const knownInstances = known();
+      const request = confirmRequestSchema.safeParse(params);
+      const hasSameDigest =
+        request.success &&
+        request.data.knownDigest === digestInstances(knownInstances);
       return {
         instance: id,
         failureDomain,
         incarnation,
         applied: keeper.applied()?.number ?? 0,
-        ...(isKnown ? {} : { knows: [...list] }),
+        ...(hasSameDigest ? {} : { knows: [...knownInstances] }),
         engines: [...options.engines()],
       };
     },
   };
 }
 
-/** How an instance answered when it was asked to confirm. */
+/** The outcome of requesting a confirmation from an instance. */
 export type ConfirmAnswer =
   | { readonly kind: "confirmed"; readonly confirmation: NoteConfirmation }
-  /** Another process answers at the address: the one named has ended. */
+  /** Another process answered at the address, so the named one has ended. */
   | { readonly kind: "replaced"; readonly confirmation: NoteConfirmation }
+  /** The connection was refused. */
   | { readonly kind: "refused" }
-  /** Silence, or an answer that cannot be read, shows nothing. */
+  /** No answer, or an unreadable one; the process may still be running. */
   | { readonly kind: "unheard"; readonly detail: string };
 
-/** Asks one instance to confirm. */
-export async function askToConfirm(
+/** Requests the confirmation of one instance. */
+export async function requestConfirmation(
   instance: InstanceReference,
   options: { readonly peers: PeerCaller; readonly request: ConfirmRequest },
 ): Promise<ConfirmAnswer> {
   const result = await options.peers.call(instance.peer, "note.confirm", {
     params: options.request,
   });
-  return classify(result, instance);
+  return classifyReply(result, instance);
 }
 
-function classify(
+function classifyReply(
   result: PeerResult,
   instance: InstanceReference,
 ): ConfirmAnswer {
--- a/packages/release/src/contact.ts
+++ b/packages/release/src/contact.ts
@@ -1,69 +1,76 @@
 /**
- * How long this instance may go on with its note: the contact allowance.
+ * Tracks the last contact, which limits how long this instance may serve from
+ * its note: until the contact allowance has elapsed.
  *
- * The contact is the start of a read of the head object, made here or by a
- * peer from which the news came, that showed no note above the one in use.
- * Ages travel as durations and add up along a chain of peers, so no two clocks
- * are compared; only their rates are taken to agree within a bound.
+ * The time of a contact is the start of a read of the head object that showed
+ * no note above the one in use. The read was made by this instance or by a
+ * peer that passed it on. Its age is sent as a duration and adds up along a
+ * chain of peers, so clocks of two machines are never compared. Only their
+ * rates must agree, within `MAX_CLOCK_DRIFT`.
  */
 import { elapsedMs, isInOrder, type Moment, momentBefore } from "./moment.ts";
 
-/** Clocks of two machines run at rates no further apart than this share. */
-export const LARGEST_RATE_DRIFT = 0.01;
+/** Maximum relative difference between the clock rates of two machines. */
+export const MAX_CLOCK_DRIFT = 0.01;
 
 /**
- * An instance that the store does not list yet may have got its note from a
- * single peer that has ended since. It needs a live peer this often, so that
- * the end of that peer is evidence once this time has passed.
+ * An instance that the store does not list yet may serve only this long after
+ * its last request that a peer answered. That peer may be the only process that
+ * can name it, so once the peer has been stopped for longer than this, the
+ * unlisted instance no longer serves either.
  */
 export const UNLISTED_ALLOWANCE_MS = 2_000;
 
 export interface Contact {
-  /** Takes in a read of the head object that began at `began`. */
-  heardFromStore(began: Moment): void;
-  /** Takes in what a peer told, `ageMs` old when it was asked at `asked`. */
-  heardFromPeer(asked: Moment, ageMs: number): void;
-  /** Age of the contact; `null` before the first. */
+  /** Records a read of the head object that started at `startedAt`. */
+  heardFromStore(startedAt: Moment): void;
+  /** Records a peer's contact of age `ageMs`, requested at `requestedAt`. */
+  heardFromPeer(requestedAt: Moment, ageMs: number): void;
+  /** Age of the last contact; `null` before the first one. */
   ageMs(): number | null;
-  /** Whether the note in use may still answer. */
+  /** Whether the note in use may still be served from. */
   holds(): boolean;
 }
 
-/** Creates a contact that has never been made. */
+/** Creates a tracker that has recorded no contact yet. */
 export function createContact(options: {
   readonly allowanceMs: number;
-  /** Since when the store lists this instance; `null` if it does not. */
+  /** When the store listed this instance; `null` if it does not. */
   readonly listedSince: () => Moment | null;
 }): Contact {
-  const allowanceMs = options.allowanceMs / (1 + LARGEST_RATE_DRIFT);
-  let began: Moment | null = null;
-  let peerHeard: Moment | null = null;
+  const allowanceMs = options.allowanceMs / (1 + MAX_CLOCK_DRIFT);
+  let contactAt: Moment | null = null;
+  let lastPeerRequestAt: Moment | null = null;
 
-  function renew(moment: Moment): void {
-    if (began && elapsedMs(began) <= elapsedMs(moment)) return;
-    began = moment;
+  function renew(candidate: Moment): void {
+    if (contactAt && elapsedMs(contactAt) <= elapsedMs(candidate)) return;
+    contactAt = candidate;
   }
 
-  function isListedOrHeard(): boolean {
+  function isListedOrHasRecentPeer(): boolean {
     if (options.listedSince()) return true;
-    return peerHeard !== null && elapsedMs(peerHeard) < UNLISTED_ALLOWANCE_MS;
+    return (
+      lastPeerRequestAt !== null &&
+      elapsedMs(lastPeerRequestAt) < UNLISTED_ALLOWANCE_MS
+    );
   }
 
   return {
-    // A read counts only if the store listed this instance before: whoever
-    // records a later note and then reads the list finds the name in it.
-    heardFromStore(moment) {
+    // A read counts only if the store listed this instance before the read
+    // started. A publisher that records a later note and then reads the list
+    // therefore finds this instance in it.
+    heardFromStore(startedAt) {
       const since = options.listedSince();
-      if (since && isInOrder(since, moment)) renew(moment);
+      if (since && isInOrder(since, startedAt)) renew(startedAt);
     },
-    heardFromPeer(asked, ageMs) {
-      peerHeard = asked;
-      renew(momentBefore(asked, ageMs * (1 + LARGEST_RATE_DRIFT)));
+    heardFromPeer(requestedAt, ageMs) {
+      lastPeerRequestAt = requestedAt;
+      renew(momentBefore(requestedAt, ageMs * (1 + MAX_CLOCK_DRIFT)));
     },
-    ageMs: () => (began ? elapsedMs(began) : null),
+    ageMs: () => (contactAt ? elapsedMs(contactAt) : null),
     holds() {
-      if (!began || !isListedOrHeard()) return false;
-      return elapsedMs(began) < allowanceMs;
+      if (!contactAt || !isListedOrHasRecentPeer()) return false;
+      return elapsedMs(contactAt) < allowanceMs;
     },
   };
 }
--- a/packages/release/src/evidence.ts
+++ b/packages/release/src/evidence.ts
@@ -1,94 +1,110 @@
-/** Judges instances that do not confirm: ended, or only silent. */
+/** Decides whether an instance that does not confirm a note has stopped. */
 import type { Membership } from "@rosemarypin/membership";
 import type { InstanceReference, RegistryEntry } from "@rosemarypin/schemas";
 import type { ConfirmAnswer } from "./confirmations.ts";
-import { LARGEST_RATE_DRIFT, UNLISTED_ALLOWANCE_MS } from "./contact.ts";
-import { nameOf } from "./known_instances.ts";
+import { MAX_CLOCK_DRIFT, UNLISTED_ALLOWANCE_MS } from "./contact.ts";
+import { processNameOf } from "./known_instances.ts";
 import { type Moment, readMoment, surelyElapsedMs } from "./moment.ts";
 import type { InstanceLine } from "./note_status.ts";
 
-/** Ended processes remembered; forgetting one only costs a little waiting. */
-const LARGEST_ENDED = 1_000;
+/** Limit of `endedAt`. A dropped entry only restarts its waiting time. */
+const MAX_ENDED_PROCESSES = 1_000;
 /**
- * After this long the end of a process also shows the end of every instance
- * that lived on its word alone.
+ * Time from the end of a process until every unlisted instance that got its
+ * note from that process alone has stopped serving.
  */
-const END_IS_EVIDENCE_AFTER_MS =
-  UNLISTED_ALLOWANCE_MS * (1 + LARGEST_RATE_DRIFT) ** 2;
+const UNLISTED_EXPIRY_MS = UNLISTED_ALLOWANCE_MS * (1 + MAX_CLOCK_DRIFT) ** 2;
 
 export interface EvidenceOptions {
   readonly membership: Membership;
-  /** Longest allowance of an instance with these settings. */
+  /** The contact allowance that this instance is configured with. */
   readonly allowanceMs: number;
-  /** Whether a refusal, or another process at an address, shows an end. */
+  /**
+   * Whether a refused connection, or another process at the address, proves
+   * that the named process has ended.
+   */
   readonly refusedConnectionShowsEnd: boolean;
 }
 
-/** What is known of the note that an instance does not confirm. */
-export interface UnconfirmedNote {
+/** What is known about an instance that has not confirmed a note. */
+export interface UnconfirmedInstance {
   readonly answer: ConfirmAnswer;
-  /** When this instance first knew that the note is recorded. */
+  /** When this instance learned of the note; it was recorded before that. */
   readonly recordedBefore: Moment;
+  /** The store's list of instances; `null` if it has not been read. */
   readonly registry: readonly RegistryEntry[] | null;
 }
 
 export interface Evidence {
-  /** The line of an instance that said goodbye; `null` if it did not. */
+  /** Describes an instance that left the membership; `null` if it has not. */
   goodbye(instance: InstanceReference): InstanceLine | null;
-  judge(instance: InstanceReference, note: UnconfirmedNote): InstanceLine;
+  /** Describes an instance that did not confirm the note. */
+  judge(
+    instance: InstanceReference,
+    unconfirmed: UnconfirmedInstance,
+  ): InstanceLine;
 }
 
-/** Creates the judge of one instance. */
+/** Creates the evidence that one instance collects about others. */
 export function createEvidence(options: EvidenceOptions): Evidence {
   const { membership } = options;
-  /** When a process was first seen to have ended. */
+  /** When each process was first seen to have ended, by its name. */
   const endedAt = new Map<string, Moment>();
 
   function findMember({ id }: InstanceReference) {
     return membership.peers().find(({ record }) => record.id === id);
   }
 
-  function lineOf(instance: InstanceReference) {
+  function baseLineOf(instance: InstanceReference) {
     const { id, failureDomain } = instance;
     const applied = findMember(instance)?.record.shared.note ?? 0;
     return { id, failureDomain, applied };
   }
 
-  function foundEnded(
+  function recordEnd(
     instance: InstanceReference,
     detail: string,
   ): InstanceLine {
-    const name = nameOf(instance);
-    const since = endedAt.get(name) ?? readMoment();
-    if (endedAt.size > LARGEST_ENDED) endedAt.clear();
-    endedAt.set(name, since);
-    return ended(instance, { detail, agoMs: surelyElapsedMs(since) });
+    const name = processNameOf(instance);
+    const firstSeenAt = endedAt.get(name) ?? readMoment();
+    if (endedAt.size > MAX_ENDED_PROCESSES) endedAt.clear();
+    endedAt.set(name, firstSeenAt);
+    return describeEnded(instance, {
+      detail,
+      agoMs: surelyElapsedMs(firstSeenAt),
+    });
   }
 
-  /** A process that has ended answers nothing; those it told may, a while. */
-  function ended(
+  /**
+   * Reports an ended process as stopped only after `UNLISTED_EXPIRY_MS`: until
+   * then an unlisted instance may still serve from a note that it got there.
+   */
+  function describeEnded(
     instance: InstanceReference,
     end: { readonly detail: string; readonly agoMs: number },
   ): InstanceLine {
-    const line = lineOf(instance);
-    if (end.agoMs >= END_IS_EVIDENCE_AFTER_MS) {
+    const line = baseLineOf(instance);
+    if (end.agoMs >= UNLISTED_EXPIRY_MS) {
       return { ...line, state: "stopped", detail: end.detail };
     }
     const detail = `${end.detail}; what lived on its word alone ends within 3 s`;
     return { ...line, state: "unheard", detail };
   }
 
-  /** Silence excuses nobody until the allowance has surely lapsed. */
-  function silent(
+  /**
+   * Reports an instance that does not answer as stopped only after the longest
+   * contact allowance has elapsed since this instance learned of the note.
+   */
+  function describeSilent(
     instance: InstanceReference,
-    context: { readonly detail: string; readonly note: UnconfirmedNote },
+    context: { readonly detail: string; readonly note: UnconfirmedInstance },
   ): InstanceLine {
     const { recordedBefore, registry } = context.note;
     const allowances = (registry ?? []).map((entry) => entry.allowanceMs);
     const longestMs = Math.max(options.allowanceMs, ...allowances);
-    const waitMs = longestMs * (1 + LARGEST_RATE_DRIFT);
+    const waitMs = longestMs * (1 + MAX_CLOCK_DRIFT);
     const leftMs = waitMs - surelyElapsedMs(recordedBefore);
-    const line = lineOf(instance);
+    const line = baseLineOf(instance);
     if (leftMs <= 0) {
       const detail = "silent for longer than it may serve without contact";
       return { ...line, state: "stopped", detail };
@@ -104,20 +120,20 @@
       if (!member?.record.left) return null;
       if (member.record.incarnation !== instance.incarnation) return null;
       const agoMs = performance.now() - member.heardAt;
-      return ended(instance, { detail: "said goodbye", agoMs });
+      return describeEnded(instance, { detail: "said goodbye", agoMs });
     },
-    judge(instance, note) {
-      const { answer } = note;
+    judge(instance, unconfirmed) {
+      const { answer } = unconfirmed;
       if (options.refusedConnectionShowsEnd) {
         if (answer.kind === "replaced") {
-          return foundEnded(instance, "its address has another process");
+          return recordEnd(instance, "its address has another process");
         }
         if (answer.kind === "refused") {
-          return foundEnded(instance, "nothing listens at its address");
+          return recordEnd(instance, "nothing listens at its address");
         }
       }
       const detail = answer.kind === "unheard" ? answer.detail : answer.kind;
-      return silent(instance, { detail, note });
+      return describeSilent(instance, { detail, note: unconfirmed });
     },
   };
 }
--- a/packages/release/src/explain.ts
+++ b/packages/release/src/explain.ts
@@ -1,4 +1,5 @@
-/** Says why a model or service is answered or not, and which line decided. */
+/** Explains whether a model or service is answered and which line decided. */
+
 import type {
   Explain,
   NoteLineReference,
@@ -20,7 +21,7 @@
 export interface ExplainOptions {
   /** The note in use; `null` for none. */
   readonly record: NoteRecord | null;
-  /** Earlier notes, to name the line; without them only its number is. */
+  /** Earlier notes, used to find the line that decided. */
   readonly history?: readonly NoteRecord[];
 }
 
@@ -98,7 +99,7 @@
 
 function explainWithdrawn(subject: ExplainSubject, options: ExplainOptions) {
   const withdrawal = options.record?.catalogue.withdrawn.findLast(({ line }) =>
-    concerns(line, subject),
+    appliesTo(line, subject),
   );
   const decidedBy = withdrawal && referenceTo(withdrawal, options);
   const message = withdrawal
@@ -107,7 +108,7 @@
   return { verdict: "withdrawn" as const, decidedBy, message };
 }
 
-/** The last line before the note in use that put the version first. */
+/** Finds the last `changed` line of the model since the version was added. */
 function findServeLine(
   model: string,
   wanted: { readonly version: string; readonly options: ExplainOptions },
@@ -166,7 +167,7 @@
     .sort((a, b) => b.number - a.number);
 }
 
-function concerns(line: WithdrawnLine, subject: ExplainSubject): boolean {
+function appliesTo(line: WithdrawnLine, subject: ExplainSubject): boolean {
   if (subject.kind === "service") {
     return line.kind === "service" && line.service === subject.name;
   }
--- a/packages/release/src/explain_test.ts
+++ b/packages/release/src/explain_test.ts
@@ -1,7 +1,7 @@
 import { type NoteRecord, releaseNoteSchema } from "@rosemarypin/schemas";
 import { describe, expect, it } from "vitest";
 import { explain } from "./explain.ts";
-import { foldNote } from "./fold.ts";
+import { mergeNote } from "./merge_note.ts";
 import { checkNote } from "./note_check.ts";
 import { diffNotes } from "./note_diff.ts";
 
@@ -26,7 +26,7 @@
       withdrawn: [],
     };
     const number = index + 1;
-    const folded = foldNote(catalogue, note, { number });
+    const folded = mergeNote(catalogue, note, { number });
     if (folded.kind === "invalid") throw new Error("a note is wrong");
     const recordedBy = "one";
     const record = { number, note, recordedAt: 0, recordedBy };
@@ -58,7 +58,7 @@
 const assist = { kind: "model", name: "assist" } as const;
 
 describe("explain", () => {
-  it("names the note and line that decide", () => {
+  it("names the deciding note and line", () => {
     const lines = [1, 2, 3, 4, 5].map((number) => {
       const { verdict, version, decidedBy, message } = explain(
         assist,
@@ -78,15 +78,15 @@
     `);
   });
 
-  it("tells no note and an unknown model apart", () => {
+  it("distinguishes a missing note from an unknown name", () => {
     const other = { kind: "service", name: "dealer-app" } as const;
     expect(explain(assist, { record: null }).verdict).toBe("no_note");
     expect(explain(other, at(1)).verdict).toBe("unknown");
   });
 });
 
-describe("diff and check", () => {
-  it("list what changes between notes", () => {
+describe("note diff and check", () => {
+  it("list the changes between notes", () => {
     const [first, , , fourth] = history;
     if (!first || !fourth) throw new Error("the notes are there");
     expect(diffNotes(null, first).changes).toMatchInlineSnapshot(`
@@ -110,7 +110,7 @@
     expect(diffNotes(first, fourth).changes).toEqual([]);
   });
 
-  it("find what is wrong with a note before it is published", () => {
+  it("find problems of a note before it is published", () => {
     const { record } = at(4);
     const bad = parse({
       supersedes: 2,
--- a/packages/release/src/head_follower.ts
+++ b/packages/release/src/head_follower.ts
@@ -7,13 +7,14 @@
 import { backoffMs } from "./backoff.ts";
 import { elapsedMs, type Moment, readMoment } from "./moment.ts";
 
-/** A watch that ends sooner, with nothing new, did not wait. */
-const QUICK_WATCH_MS = 1_000;
+/** A watch without changes should block for at least this long. */
+const MIN_WATCH_MS = 1_000;
 
 const log = createLogger("release");
 
-/** What the head object held; `null` before the first note. */
-export interface HeadNews {
+/** The result of one read of the head object. */
+export interface HeadRead {
+  /** The note in the head object; `null` before the first note. */
   readonly record: NoteRecord | null;
   /** When the read was started. */
   readonly began: Moment;
@@ -25,10 +26,10 @@
   readonly signal: AbortSignal;
 }
 
-/** Reads the head object once; `null` if it cannot be read or understood. */
+/** Reads the head object once; `null` if it cannot be read or parsed. */
 export async function readHead(
   options: HeadFollowerOptions,
-): Promise<HeadNews | null> {
+): Promise<HeadRead | null> {
   const began = readMoment();
   const result = await options.store.read(options.headKey, {
     signal: options.signal,
@@ -41,7 +42,7 @@
 
 /** Watches the head object until the signal is aborted. */
 export async function followHead(
-  options: HeadFollowerOptions & { readonly take: (news: HeadNews) => void },
+  options: HeadFollowerOptions & { readonly take: (news: HeadRead) => void },
 ): Promise<void> {
   const { store, headKey, signal } = options;
   let since: Revision = 0;
@@ -56,12 +57,12 @@
         const record = parseHead(value);
         if (record) options.take({ record, began });
       }
-      // A watch that returns at once with nothing new, over and over, shows
-      // as a busy loop that uses up the call budget; it counts as a failure.
-      const isSound = revision > since || elapsedMs(began) > QUICK_WATCH_MS;
+      // A watch that returns at once without changes counts as a failure.
+      // Otherwise the loop would spin and use up the store's call budget.
+      const isHealthy = revision > since || elapsedMs(began) > MIN_WATCH_MS;
       since = revision;
-      failures = isSound ? 0 : failures + 1;
-      if (isSound) continue;
+      failures = isHealthy ? 0 : failures + 1;
+      if (isHealthy) continue;
     } else {
       failures += 1;
       log.detail("watch_failed", { reason: result.kind, failures });
--- a/packages/release/src/head_follower_test.ts
+++ b/packages/release/src/head_follower_test.ts
@@ -21,7 +21,7 @@
   recordedBy: "one",
 });
 
-/** A store of which only the watch is used. */
+/** Creates a store that supports only `watch`. */
 function watchOnly(watch: ObjectStore["watch"]): ObjectStore {
   const unused = () => Promise.reject(new Error("only the watch is used"));
   return {
@@ -33,9 +33,9 @@
   };
 }
 
-it("takes what a watch brings, skipped and repeated versions alike", async () => {
-  // The store's watch leaves out note 2 and brings note 1 again after note 3.
-  // Whoever follows gets all of it; the keeper drops what is not higher.
+it("head follower passes on skipped and repeated versions", async () => {
+  // The watch skips note 2 and returns note 1 again after note 3. The follower
+  // passes on all of them, and the keeper drops numbers that are not higher.
   const numbers = [1, 3, 1, 3];
   const stopping = new AbortController();
   const store = watchOnly(async (key, { since }) => {
@@ -58,9 +58,9 @@
   expect(taken).toEqual([1, 3, 1, 3]);
 });
 
-it("does not spin on a watch that ends at once with nothing new", async () => {
-  // A broken watch answers at once and for ever that nothing is new. Followed
-  // plainly, one instance uses up the store's whole call rate.
+it("head follower backs off when watches end at once without changes", async () => {
+  // A broken watch always returns at once without changes. Without a backoff,
+  // one instance would use up the store's whole call rate.
   let calls = 0;
   const stopping = new AbortController();
   const store = watchOnly(async () => {
--- a/packages/release/src/known_instances.ts
+++ b/packages/release/src/known_instances.ts
@@ -1,4 +1,4 @@
-/** The instances that this one knows, and a short digest of them. */
+/** Lists the instances known to this one and computes a digest of the list. */
 import { createHash } from "node:crypto";
 import type { Membership } from "@rosemarypin/membership";
 import {
@@ -10,10 +10,10 @@
 const DIGEST_LENGTH = 16;
 
 /**
- * All instances that may still answer as far as this one knows: itself, the
- * members that did not say goodbye, and those that asked it for the note.
+ * Lists all instances that may still serve, as far as this one knows: itself,
+ * the members that have not left, and those that requested the note from it.
  */
-export function listKnown(
+export function listKnownInstances(
   membership: Membership,
   options: { readonly askers: readonly InstanceReference[] },
 ): readonly InstanceReference[] {
@@ -21,24 +21,28 @@
     membership.self(),
     ...membership.peers().map(({ record }) => record),
   ];
-  const left = new Set(members.filter((record) => record.left).map(nameOf));
-  const known = new Map<string, InstanceReference>();
+  const left = new Set(
+    members.filter((record) => record.left).map(processNameOf),
+  );
+  const instancesByName = new Map<string, InstanceReference>();
   for (const member of [...options.askers, ...members]) {
-    const name = nameOf(member);
-    if (!left.has(name)) known.set(name, toReference(member));
+    const name = processNameOf(member);
+    if (!left.has(name)) instancesByName.set(name, toReference(member));
   }
-  return [...known.values()];
+  return [...instancesByName.values()];
 }
 
-/** Equal for equal sets, so that a list is sent only where it differs. */
-export function digestOf(known: readonly InstanceReference[]): string {
-  const names = known.map(nameOf).sort();
+/** Computes a digest of a set of instances, independent of their order. */
+export function digestInstances(
+  instances: readonly InstanceReference[],
+): string {
+  const names = instances.map(processNameOf).sort();
   const hash = createHash("sha256").update(names.join(" "));
   return hash.digest("hex").slice(0, DIGEST_LENGTH);
 }
 
-/** Names one process: a restart or another address makes another. */
-export function nameOf(instance: InstanceReference): string {
+/** Identifies a process; a restart or a change of address changes the name. */
+export function processNameOf(instance: InstanceReference): string {
   const address = formatAddress(instance.peer);
   return `${instance.id}@${address}/${instance.incarnation}`;
 }
--- a/packages/release/src/fold.ts
+++ b/packages/release/src/merge_note.ts
@@ -1,4 +1,5 @@
-/** Folds a note into the catalogue that the notes before it led to. */
+/** Merges a note into the catalogue that results from all earlier notes. */
+
 import type {
   AddedLine,
   Catalogue,
@@ -16,42 +17,46 @@
   readonly message: string;
 }
 
-export type FoldResult =
+export type MergeResult =
   | { readonly kind: "ok"; readonly catalogue: Catalogue }
   | { readonly kind: "invalid"; readonly problems: readonly NoteProblem[] };
 
-/** Collects problems of the line that is being applied. */
-type Complain = (message: string) => void;
+/** Reports a problem of the line that is being merged. */
+type ReportProblem = (message: string) => void;
 
-/** Applies `note` as number `number`; the base stays as it is. */
-export function foldNote(
+/** Merges `note`, with the given number, into a copy of `base`. */
+export function mergeNote(
   base: Catalogue,
   note: ReleaseNote,
   options: { readonly number: number },
-): FoldResult {
+): MergeResult {
   const { number } = options;
   const catalogue = structuredClone(base);
   const problems: NoteProblem[] = [];
-  const complainAt =
-    (line: string): Complain =>
+  const reportAt =
+    (line: string): ReportProblem =>
     (message) =>
       problems.push({ line, message });
 
   note.added.forEach((line, index) => {
     addLine(catalogue, line, {
       number,
-      complain: complainAt(`added[${index}]`),
+      complain: reportAt(`added[${index}]`),
     });
   });
   note.withdrawn.forEach((line, index) => {
-    const complain = complainAt(`withdrawn[${index}]`);
+    const complain = reportAt(`withdrawn[${index}]`);
     const lines = withdrawLine(catalogue, line, { complain });
-    for (const gone of lines) {
-      catalogue.withdrawn.push({ line: gone, number, reason: note.reason });
+    for (const withdrawnLine of lines) {
+      catalogue.withdrawn.push({
+        line: withdrawnLine,
+        number,
+        reason: note.reason,
+      });
     }
   });
   note.changed.forEach((line, index) => {
-    changeLine(catalogue, line, complainAt(`changed[${index}]`));
+    changeLine(catalogue, line, reportAt(`changed[${index}]`));
   });
   return problems.length > 0
     ? { kind: "invalid", problems }
@@ -61,7 +66,7 @@
 function addLine(
   catalogue: Catalogue,
   line: AddedLine,
-  options: { readonly number: number; readonly complain: Complain },
+  options: { readonly number: number; readonly complain: ReportProblem },
 ): void {
   const { number, complain } = options;
   if (line.kind === "service") {
@@ -69,7 +74,8 @@
     forbidWithdrawn(
       catalogue,
       complain,
-      (old) => old.kind === "service" && old.service === line.service,
+      (withdrawn) =>
+        withdrawn.kind === "service" && withdrawn.service === line.service,
     );
     return;
   }
@@ -80,10 +86,10 @@
     forbidWithdrawn(
       catalogue,
       complain,
-      (old) =>
-        old.kind === "adapter" &&
-        old.model === line.model &&
-        old.adapter === line.adapter,
+      (withdrawn) =>
+        withdrawn.kind === "adapter" &&
+        withdrawn.model === line.model &&
+        withdrawn.adapter === line.adapter,
     );
     return;
   }
@@ -96,13 +102,13 @@
   forbidWithdrawn(
     catalogue,
     complain,
-    (old) =>
-      (old.kind === "version" &&
-        old.model === line.model &&
-        old.version === version) ||
-      (old.kind === "layerSet" &&
-        old.model === line.model &&
-        layerSets.some((set) => set.name === old.layerSet)),
+    (withdrawn) =>
+      (withdrawn.kind === "version" &&
+        withdrawn.model === line.model &&
+        withdrawn.version === version) ||
+      (withdrawn.kind === "layerSet" &&
+        withdrawn.model === line.model &&
+        layerSets.some((set) => set.name === withdrawn.layerSet)),
   );
   model.versions[version] = { version, layers, layerSets, addedBy: number };
   if (line.serve) model.serve.unshift(version);
@@ -112,7 +118,7 @@
 function changeLine(
   catalogue: Catalogue,
   line: ChangedLine,
-  complain: Complain,
+  complain: ReportProblem,
 ): void {
   const model = catalogue.models[line.model];
   if (!model) {
@@ -128,14 +134,15 @@
 }
 
 /**
- * Takes a batch out; returns all that is withdrawn with it. A layer set takes
- * versions with it, whose names must not come back either: a cut-off instance
- * and the engines know a version by its name only.
+ * Removes a batch and returns everything that is withdrawn with it. Withdrawing
+ * a layer set also withdraws the versions that use it. Their names must not be
+ * reused either, because engines and instances that are cut off identify a
+ * version by its name only.
  */
 function withdrawLine(
   catalogue: Catalogue,
   line: WithdrawnLine,
-  options: { readonly complain: Complain },
+  options: { readonly complain: ReportProblem },
 ): readonly WithdrawnLine[] {
   const { complain } = options;
   if (line.kind === "service") {
@@ -151,22 +158,22 @@
     removeFrom(model.adapters, line.adapter, complain);
     return [line];
   }
-  const gone = Object.values(model.versions).filter((version) =>
+  const removed = Object.values(model.versions).filter((version) =>
     line.kind === "version"
       ? version.version === line.version
       : version.layerSets.some((set) => set.name === line.layerSet),
   );
-  if (gone.length === 0) complain("nothing that answers now has that name");
-  for (const { version } of gone) removeVersion(model, version);
+  if (removed.length === 0) complain("nothing that answers now has that name");
+  for (const { version } of removed) removeVersion(model, version);
   if (line.kind === "version") return [line];
-  const versions = gone.map(
+  const versions = removed.map(
     ({ version }): WithdrawnLine => ({
       kind: "version",
       model: line.model,
       version,
     }),
   );
-  // The operator's own line comes last: explanations name the last one.
+  // The line of the note comes last, because `explain` names the last one.
   return [...versions, line];
 }
 
@@ -175,41 +182,45 @@
   model.serve = model.serve.filter((name) => name !== version);
 }
 
-function addTo(names: string[], name: string, complain: Complain): void {
+function addTo(names: string[], name: string, complain: ReportProblem): void {
   if (names.includes(name)) complain(`'${name}' is there already`);
   else names.push(name);
 }
 
-function removeFrom(names: string[], name: string, complain: Complain): void {
+function removeFrom(
+  names: string[],
+  name: string,
+  complain: ReportProblem,
+): void {
   const index = names.indexOf(name);
   if (index < 0) complain(`nothing that answers now has the name '${name}'`);
   else names.splice(index, 1);
 }
 
 /**
- * A withdrawn batch must never answer again, so its name is not given out a
- * second time: a cut-off instance could not tell the two apart.
+ * Reports a name that was withdrawn earlier. Reusing it could bring a withdrawn
+ * batch back: an instance that is cut off could not tell the two apart.
  */
 function forbidWithdrawn(
   catalogue: Catalogue,
-  complain: Complain,
+  complain: ReportProblem,
   matches: (line: WithdrawnLine) => boolean,
 ): void {
-  const old = catalogue.withdrawn.find(({ line }) => matches(line));
-  if (!old) return;
-  complain(`withdrawn for good by note ${old.number}; use a new name`);
+  const withdrawal = catalogue.withdrawn.find(({ line }) => matches(line));
+  if (!withdrawal) return;
+  complain(`withdrawn for good by note ${withdrawal.number}; use a new name`);
 }
 
 function coversOnce(
   sets: readonly { from: number; to: number }[],
   layers: number,
 ): boolean {
-  let next = 0;
+  let nextLayer = 0;
   for (const set of sets) {
-    if (set.from !== next || set.to <= set.from) return false;
-    next = set.to;
+    if (set.from !== nextLayer || set.to <= set.from) return false;
+    nextLayer = set.to;
   }
-  return next === layers;
+  return nextLayer === layers;
 }
 
 function emptyModel(): Model {
--- a/packages/release/src/fold_test.ts
+++ b/packages/release/src/merge_note_test.ts
@@ -1,6 +1,6 @@
 import { emptyCatalogue, releaseNoteSchema } from "@rosemarypin/schemas";
 import { describe, expect, it } from "vitest";
-import { foldNote } from "./fold.ts";
+import { mergeNote } from "./merge_note.ts";
 
 const base = releaseNoteSchema.parse({
   supersedes: 0,
@@ -23,7 +23,7 @@
 });
 
 function firstCatalogue() {
-  const folded = foldNote(emptyCatalogue, base, { number: 1 });
+  const folded = mergeNote(emptyCatalogue, base, { number: 1 });
   if (folded.kind !== "ok") throw new Error("the base note is wrong");
   return folded.catalogue;
 }
@@ -37,11 +37,11 @@
   });
 }
 
-describe("folding a note", () => {
+describe("merging a note", () => {
   it("withdraws every version that uses a withdrawn layer set", () => {
     const withdrawn = [{ kind: "layerSet", model: "assist", layerSet: "low" }];
     const note = nextNote({ withdrawn });
-    const folded = foldNote(firstCatalogue(), note, { number: 2 });
+    const folded = mergeNote(firstCatalogue(), note, { number: 2 });
     expect(folded).toMatchObject({
       kind: "ok",
       catalogue: { models: { assist: { versions: {}, serve: [] } } },
@@ -50,7 +50,7 @@
 
   const refused = [
     {
-      name: "a version that is there",
+      name: "a version that exists already",
       lines: { added: [base.added[0]] },
       message: "there already",
     },
@@ -70,14 +70,14 @@
       message: "cover layers 0 to 4",
     },
     {
-      name: "a withdrawal of nothing",
+      name: "a withdrawal of an unknown version",
       lines: {
         withdrawn: [{ kind: "version", model: "assist", version: "v9" }],
       },
       message: "nothing that answers",
     },
     {
-      name: "an order with an unknown version",
+      name: "a preference for an unknown version",
       lines: {
         changed: [{ kind: "model", model: "assist", serve: ["v9"] }],
       },
@@ -85,36 +85,36 @@
     },
   ];
   it.each(refused)("refuses $name", ({ lines, message }) => {
-    const folded = foldNote(firstCatalogue(), nextNote(lines), { number: 2 });
+    const folded = mergeNote(firstCatalogue(), nextNote(lines), { number: 2 });
     expect(folded.kind).toBe("invalid");
     expect(JSON.stringify(folded)).toContain(message);
   });
 
-  it("never gives the name of a version out again that lost a layer set", () => {
-    // A layer set is recalled, and with it version v1. Later v1 is added again
-    // with other layer sets. An instance that was cut off meanwhile holds a
-    // note with the old v1, and engines know versions by name only.
+  it("refuses the name of a version whose layer set was withdrawn", () => {
+    // Recalling a layer set withdraws version v1. Later v1 is added again with
+    // other layer sets. An instance that was cut off meanwhile still has the
+    // old v1, and engines identify versions by name only.
     const withdrawn = [{ kind: "layerSet", model: "assist", layerSet: "low" }];
-    const recalled = foldNote(firstCatalogue(), nextNote({ withdrawn }), {
+    const recalled = mergeNote(firstCatalogue(), nextNote({ withdrawn }), {
       number: 2,
     });
     if (recalled.kind !== "ok") throw new Error("the recall was refused");
     const layerSets = [{ name: "other", from: 0, to: 4 }];
     const again = nextNote({ added: [{ ...base.added[0], layerSets }] });
-    const folded = foldNote(recalled.catalogue, again, { number: 3 });
+    const folded = mergeNote(recalled.catalogue, again, { number: 3 });
     expect(JSON.stringify(folded)).toContain("withdrawn for good by note 2");
   });
 
-  it("never gives a withdrawn name out again", () => {
-    // An operator recalls v1 and later adds a version called v1 again. An
+  it("refuses a withdrawn name", () => {
+    // An operator recalls v1 and later adds another version with that name. An
     // instance that was cut off meanwhile could not tell the two apart.
     const withdrawn = [{ kind: "version", model: "assist", version: "v1" }];
-    const recalled = foldNote(firstCatalogue(), nextNote({ withdrawn }), {
+    const recalled = mergeNote(firstCatalogue(), nextNote({ withdrawn }), {
       number: 2,
     });
     if (recalled.kind !== "ok") throw new Error("the recall was refused");
     const again = nextNote({ added: [base.added[0]] });
-    const folded = foldNote(recalled.catalogue, again, { number: 3 });
+    const folded = mergeNote(recalled.catalogue, again, { number: 3 });
     expect(JSON.stringify(folded)).toContain("withdrawn for good by note 2");
   });
 });
--- a/packages/release/src/note_check.ts
+++ b/packages/release/src/note_check.ts
@@ -1,21 +1,22 @@
 /** Checks a note against the note in use, without publishing it. */
+
 import {
   emptyCatalogue,
   type NoteCheck,
   type NoteRecord,
   type ReleaseNote,
 } from "@rosemarypin/schemas";
-import { foldNote } from "./fold.ts";
+import { mergeNote } from "./merge_note.ts";
 import { diffCatalogues } from "./note_diff.ts";
 
-/** Says whether `note` could follow `record`, and what it would change. */
+/** Checks whether `note` may supersede `record` and lists its changes. */
 export function checkNote(
   note: ReleaseNote,
   record: NoteRecord | null,
 ): NoteCheck {
   const against = record?.number ?? 0;
   const base = record?.catalogue ?? emptyCatalogue;
-  const folded = foldNote(base, note, { number: against + 1 });
+  const folded = mergeNote(base, note, { number: against + 1 });
   const problems = folded.kind === "invalid" ? [...folded.problems] : [];
   if (note.supersedes !== against) {
     problems.unshift({
--- a/packages/release/src/note_diff.ts
+++ b/packages/release/src/note_diff.ts
@@ -1,4 +1,5 @@
-/** What changes from the state of one note to that of another. */
+/** Computes the changes between the catalogues of two notes. */
+
 import type {
   Catalogue,
   Model,
@@ -7,14 +8,14 @@
   NoteRecord,
 } from "@rosemarypin/schemas";
 
-/** Lists what differs between two recorded notes. */
+/** Lists the differences between two recorded notes. */
 export function diffNotes(from: NoteRecord | null, to: NoteRecord): NoteDiff {
   const before = from?.catalogue ?? { models: {}, services: [], withdrawn: [] };
   const changes = diffCatalogues(before, to.catalogue);
   return { from: from?.number ?? 0, to: to.number, changes };
 }
 
-/** Lists what differs between two states. */
+/** Lists the differences between two catalogues. */
 export function diffCatalogues(
   before: Catalogue,
   after: Catalogue,
--- a/packages/release/src/note_history.ts
+++ b/packages/release/src/note_history.ts
@@ -1,4 +1,4 @@
-/** The notes that were recorded, by number. */
+/** Stores and finds recorded notes by number. */
 
 import {
   headObjectSchema,
@@ -7,30 +7,30 @@
 } from "@rosemarypin/schemas";
 import type { ObjectStore, StoredObject } from "@rosemarypin/store";
 
-/** What a stored note object holds. */
+/** The parsed content of a stored note object. */
 export type StoredNote =
   | { readonly kind: "none" }
   | { readonly kind: "note"; readonly record: NoteRecord }
   /** Written by a later release, or damaged: it must not be overwritten. */
   | { readonly kind: "unreadable" };
 
-/** Notes that one call lists, unless it asks for more. */
-const LISTED_NOTES = 20;
+/** Number of notes that are listed by default. */
+const DEFAULT_LIST_LIMIT = 20;
 
 export interface NoteHistory {
-  /** Keeps a note that was the head; resolves to whether it is kept. */
+  /** Stores a note that was the head; resolves to whether it is stored. */
   keep(head: NoteRecord): Promise<boolean>;
-  /** One recorded note; `undefined` if the store is away. */
+  /** Finds a recorded note; `undefined` if the store is unreachable. */
   find(number: number): Promise<NoteRecord | null | undefined>;
-  /** The latest notes, newest first; `null` if the store is away. */
+  /** Lists the latest notes, newest first; `null` if the store fails. */
   list(limit?: number): Promise<readonly NoteRecord[] | null>;
 }
 
 /**
- * Creates the history of a deployment. Only a note that was read from the
- * head is kept, so one that lost its race never gets in: the head is written
- * under a condition, and there is one head for each number. Two publishers
- * that keep the same head write the same value, and the second finds it there.
+ * Creates the history of a deployment. It stores only notes that were read from
+ * the head. Writes of the head are conditional, so there is one head for each
+ * number, and a note that lost the race is never stored. Two publishers that
+ * store the same head write the same value, and the second one finds it there.
  */
 export function createNoteHistory(options: {
   readonly deployment: string;
@@ -39,9 +39,9 @@
   const { deployment, store } = options;
 
   async function find(number: number): Promise<NoteRecord | null | undefined> {
-    // The head is read first. It moves to the history before the next head
-    // is written, so what was not the head then is in the history now; the
-    // other way round, a note could pass from one to the other unseen.
+    // The head must be read before the history. A head is copied to the
+    // history before the next one is written, so an older note is found there.
+    // In the opposite order, a note could move between the two reads.
     const head = await readNote(storedKeys.head(deployment));
     if (!head || head.number === number) return head;
     return readNote(storedKeys.history(deployment, number));
@@ -58,7 +58,7 @@
     find,
     async keep(head) {
       const key = storedKeys.history(deployment, head.number);
-      const written = await store.write(key, keptForm(head), {
+      const written = await store.write(key, toHistoryRecord(head), {
         expectedVersion: null,
       });
       if (written.kind === "ok" || written.kind === "conflict") return true;
@@ -66,7 +66,7 @@
       const read = await store.read(key);
       return read.kind === "ok" && read.value !== null;
     },
-    async list(limit = LISTED_NOTES) {
+    async list(limit = DEFAULT_LIST_LIMIT) {
       const head = await readNote(storedKeys.head(deployment));
       if (head === undefined) return null;
       if (head === null) return [];
@@ -83,18 +83,20 @@
 }
 
 /**
- * A note as the history keeps it: with the withdrawals of its own, and without
- * those of earlier notes, whose records have them. Whole, each record would
- * repeat up to 256 withdrawals, nine tenths of its size. It is not to be
- * applied: its instance would not know any more what it calls withdrawn.
+ * Reduces a note to what the history stores: it omits the withdrawals of earlier
+ * notes, which their own records hold. In full, each record would repeat up to
+ * 256 withdrawals, 90 % of its size. An instance must not apply a reduced
+ * record, because it would report withdrawn names as unknown.
  */
-export function keptForm(head: NoteRecord): NoteRecord {
+export function toHistoryRecord(head: NoteRecord): NoteRecord {
   const { catalogue, number } = head;
-  const withdrawn = catalogue.withdrawn.filter((one) => one.number === number);
+  const withdrawn = catalogue.withdrawn.filter(
+    (withdrawal) => withdrawal.number === number,
+  );
   return { ...head, catalogue: { ...catalogue, withdrawn } };
 }
 
-/** Reads a stored object as a note. */
+/** Parses a stored object as a note. */
 export function parseStoredNote(object: StoredObject | null): StoredNote {
   if (object === null) return { kind: "none" };
   const parsed = headObjectSchema.safeParse(object.value);
--- a/packages/release/src/note_keeper.ts
+++ b/packages/release/src/note_keeper.ts
@@ -1,4 +1,4 @@
-/** Keeps the note that this instance applies, and never goes back. */
+/** Holds the note that this instance applies; its number never decreases. */
 
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
 import {
@@ -12,15 +12,18 @@
 import type { ObjectStore } from "@rosemarypin/store";
 import { createLogger, type Metrics } from "@rosemarypin/telemetry";
 import { createContact } from "./contact.ts";
-import type { HeadNews } from "./head_follower.ts";
+import type { HeadRead } from "./head_follower.ts";
 import { type Moment, readMoment, surelyElapsedMs } from "./moment.ts";
 import { createNoteSources } from "./note_sources.ts";
 import { createPauseDetector } from "./pause_detector.ts";
 
-const CHECK_CONTACT_EVERY_MS = 250;
+const CONTACT_CHECK_INTERVAL_MS = 250;
 const DEFAULT_ALLOWANCE_MS = 3_600_000;
-/** An asker is remembered this many allowances, more than it can live on. */
-const ALLOWANCES_REMEMBERED = 2;
+/**
+ * How long a requester of the note is listed, in contact allowances. A reply
+ * lets an instance serve for one allowance at most.
+ */
+const REQUESTER_RETENTION_ALLOWANCES = 2;
 
 const log = createLogger("release");
 
@@ -29,42 +32,49 @@
   readonly store: ObjectStore;
   readonly membership: Membership;
   readonly peers: PeerCaller;
-  /** How long to serve with no contact to store or peers. */
+  /** How long to serve without contact to the store or to peers. */
   readonly allowanceMs?: number;
-  /** Since when the store lists this instance; unset: since the start. */
+  /**
+   * When the store listed this instance; `null` if it does not. Defaults to
+   * the creation of the keeper.
+   */
   readonly listedSince?: () => Moment | null;
   /** The highest note number that an engine reported. */
   readonly hintedNumber?: () => number;
   readonly metrics?: Metrics;
 }
 
-/** The note in use here. */
+/** The note in use on this instance. */
 export interface NoteKeeper {
-  /** The note to answer from; `null` without one or without contact. */
+  /** The note to answer from; `null` if there is none or contact lapsed. */
   current(): NoteRecord | null;
-  /** The same, after a look around if this process was paused. */
+  /**
+   * Resolves to `current()`, after a refresh from the store and peers if this
+   * process was paused.
+   */
   fresh(): Promise<NoteRecord | null>;
-  /** The highest note known, whether or not it may answer. */
+  /** The highest note received, even if the contact has lapsed. */
   applied(): NoteRecord | null;
   /** Applies a record if its number is higher; returns whether it did. */
   offer(record: NoteRecord): boolean;
   /**
-   * Called after each change of the note, and with a record that allows
-   * nothing when the contact lapses; returns how to stop.
+   * Calls `listener` after each change of the note, and with a record whose
+   * catalogue is empty when the contact lapses. Returns a function that
+   * unsubscribes.
    */
   onChange(listener: (record: NoteRecord) => void): () => void;
-  /** Answers a peer's `note.current`. */
+  /** Answers a `note.current` call of a peer. */
   answer(request: NoteRequest): NoteReply;
-  /** Instances that asked, until none can still live on the answer. */
+  /** Instances that requested the note and may still serve from the reply. */
   askers(): readonly InstanceReference[];
-  /** Looks at the store, or at peers, now. */
+  /** Reads the note from the store or from peers now. */
   refresh(): Promise<void>;
-  /** Age of the contact; `null` before the first. */
+  /** Age of the last contact; `null` before the first one. */
   contactAgeMs(): number | null;
   stop(): void;
 }
 
-/** Starts to keep the note. */
+/** Creates a keeper, which follows the store and the peers until stopped. */
 export function createNoteKeeper(options: NoteKeeperOptions): NoteKeeper {
   const { membership, metrics } = options;
   const allowanceMs = options.allowanceMs ?? DEFAULT_ALLOWANCE_MS;
@@ -72,11 +82,11 @@
   const listedSince = options.listedSince ?? (() => startedAt);
   const contact = createContact({ allowanceMs, listedSince });
   const listeners = new Set<(record: NoteRecord) => void>();
-  const askers = new Map<string, { from: InstanceReference; at: Moment }>();
+  const requesters = new Map<string, { from: InstanceReference; at: Moment }>();
   const stopping = new AbortController();
   let applied: NoteRecord | null = null;
-  let mayAnswer = false;
-  let lookingAround: Promise<void> | null = null;
+  let wasInContact = false;
+  let pendingRefresh: Promise<void> | null = null;
 
   const sources = createNoteSources({
     ...options,
@@ -92,10 +102,10 @@
   const pauses = createPauseDetector({
     onPause(gapMs) {
       log.warn("process_paused", { gap_ms: Math.round(gapMs) });
-      lookingAround = sources.lookAround();
+      pendingRefresh = sources.lookAround();
     },
   });
-  const contactTimer = setInterval(checkContact, CHECK_CONTACT_EVERY_MS);
+  const contactTimer = setInterval(checkContact, CONTACT_CHECK_INTERVAL_MS);
 
   function appliedNumber(): number {
     return applied?.number ?? 0;
@@ -108,17 +118,18 @@
     metrics?.noteNumber.set(record.number);
     metrics?.noteApplyDelay.observe(delayMs / 1_000);
     log.info("note_applied", { note: record.number, delay_ms: delayMs });
-    // Answers are cut before anyone is told: to apply is to confirm.
-    tellListeners(record);
+    // Listeners cut the answers that the note no longer allows. They run
+    // before another process can see the new number, which confirms the note.
+    notifyListeners(record);
     membership.share({ note: record.number });
     return true;
   }
 
-  function tellListeners(record: NoteRecord): void {
+  function notifyListeners(record: NoteRecord): void {
     for (const listener of [...listeners]) listener(record);
   }
 
-  function takeHead({ record, began }: HeadNews): void {
+  function takeHead({ record, began }: HeadRead): void {
     if (record) offer(record);
     contact.heardFromStore(began);
     checkContact();
@@ -126,30 +137,31 @@
 
   function takeReply(reply: NoteReply, asked: Moment): void {
     if (reply.record) offer(reply.record);
-    // The age vouches for the peer's number: it says nothing about a lower.
+    // The contact age holds for the peer's note number. It does not show that
+    // a higher number, applied here, is still the latest.
     if (reply.contactAgeMs === null || reply.number > appliedNumber()) return;
     contact.heardFromPeer(asked, reply.contactAgeMs);
     checkContact();
   }
 
   function checkContact(): void {
-    const may = contact.holds();
-    if (may === mayAnswer) return;
-    mayAnswer = may;
-    if (may) log.info("contact_made", { note: appliedNumber() });
-    else void lapse();
+    const isInContact = contact.holds();
+    if (isInContact === wasInContact) return;
+    wasInContact = isInContact;
+    if (isInContact) log.info("contact_made", { note: appliedNumber() });
+    else void handleLapsedContact();
   }
 
   /**
-   * Cuts what runs when the allowance has lapsed. A wall clock that is set
-   * forward looks the same, so there is one look around first. No token gets
-   * out meanwhile: each asks for the note by itself.
+   * Cuts running answers once the allowance has lapsed. A wall clock that is
+   * set forward has the same effect, so the store and peers are read first.
+   * No token is sent meanwhile, because each one checks `current()`.
    */
-  async function lapse(): Promise<void> {
+  async function handleLapsedContact(): Promise<void> {
     await sources.lookAround();
     if (contact.holds() || !applied) return;
     log.warn("contact_lapsed", { note: appliedNumber() });
-    tellListeners({ ...applied, catalogue: emptyCatalogue });
+    notifyListeners({ ...applied, catalogue: emptyCatalogue });
   }
 
   function current(): NoteRecord | null {
@@ -157,28 +169,30 @@
   }
 
   /**
-   * A process that was frozen across a recall wakes up with requests and
-   * tokens queued; its clock shows the gap, its note does not. It answers
-   * nothing before it has read the store or heard peers, unless it is cut off
-   * from both: then its allowance decides, as for any cut-off instance.
+   * A process that was frozen during a recall resumes with queued requests and
+   * tokens and an outdated note. The pause detector sees the gap in the clock,
+   * and nothing is answered until the store or a peer has been read. If neither
+   * can be reached in time, the contact allowance decides, as for any instance
+   * that is cut off.
    */
   async function fresh(): Promise<NoteRecord | null> {
     pauses.look();
-    const pending = lookingAround;
+    const pending = pendingRefresh;
     if (pending) {
       await pending;
-      if (lookingAround === pending) lookingAround = null;
+      if (pendingRefresh === pending) pendingRefresh = null;
     }
     return current();
   }
 
   function answer({ from, above }: NoteRequest): NoteReply {
-    for (const [key, { at }] of askers) {
-      const isOver = surelyElapsedMs(at) > ALLOWANCES_REMEMBERED * allowanceMs;
-      if (isOver) askers.delete(key);
+    for (const [key, { at }] of requesters) {
+      const isExpired =
+        surelyElapsedMs(at) > REQUESTER_RETENTION_ALLOWANCES * allowanceMs;
+      if (isExpired) requesters.delete(key);
     }
     const key = `${from.id}/${from.incarnation}`;
-    askers.set(key, { from, at: readMoment() });
+    requesters.set(key, { from, at: readMoment() });
     return {
       number: appliedNumber(),
       record: appliedNumber() > above ? applied : null,
@@ -197,7 +211,7 @@
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
-    askers: () => [...askers.values()].map(({ from }) => from),
+    askers: () => [...requesters.values()].map(({ from }) => from),
     contactAgeMs: contact.ageMs,
     stop() {
       stopping.abort();
--- a/packages/release/src/note_sources.ts
+++ b/packages/release/src/note_sources.ts
@@ -1,4 +1,5 @@
-/** Where notes come from: the store, peers, and hints of engines. */
+/** Reads notes from the store and from peers. */
+
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
 import {
   type Address,
@@ -10,22 +11,22 @@
 import { pause } from "@rosemarypin/timing";
 import { jittered } from "./backoff.ts";
 import { UNLISTED_ALLOWANCE_MS } from "./contact.ts";
-import { followHead, type HeadNews, readHead } from "./head_follower.ts";
+import { followHead, type HeadRead, readHead } from "./head_follower.ts";
 import { type Moment, readMoment } from "./moment.ts";
 import { choosePeersToAsk, isReader } from "./refresh_roles.ts";
 
-/** How often a reader of the store renews the contact. */
-const READ_EVERY_MS = 1_000;
-/** How often the others renew theirs from a reader. */
-const ASK_EVERY_MS = 5_000;
-/** The contact is renewed this many times before it would lapse. */
+/** How often an instance that reads the store renews its contact. */
+const STORE_READ_INTERVAL_MS = 1_000;
+/** How often other instances renew their contact from peers. */
+const PEER_REQUEST_INTERVAL_MS = 5_000;
+/** Minimum number of renewals within one contact allowance. */
 const RENEWALS_PER_ALLOWANCE = 4;
-/** How long an answer waits for a look around after a pause. */
-const LOOK_AROUND_WITHIN_MS = 1_000;
-/** Peers fetch from the first to know over at most this span. */
-const LARGEST_FETCH_DELAY_MS = 200;
-/** Peers asked at once; the next heartbeat asks again if none helped. */
-const LARGEST_FETCHES = 3;
+/** Maximum time that an answer waits for a refresh after a pause. */
+const REFRESH_TIMEOUT_MS = 1_000;
+/** Maximum random delay before a newer note is fetched from a peer. */
+const MAX_FETCH_DELAY_MS = 200;
+/** Concurrent fetches; if all fail, the next heartbeat starts new ones. */
+const MAX_CONCURRENT_FETCHES = 3;
 
 export interface NoteSourcesOptions {
   readonly store: ObjectStore;
@@ -34,19 +35,24 @@
   readonly peers: PeerCaller;
   readonly signal: AbortSignal;
   readonly allowanceMs: number;
+  /** When the store listed this instance; `null` if it does not. */
   readonly listedSince: () => Moment | null;
   /** The highest note number that an engine reported. */
   readonly hintedNumber: () => number;
   readonly appliedNumber: () => number;
-  readonly takeHead: (news: HeadNews) => void;
-  /** Takes a peer's answer to a question that was sent at `asked`. */
-  readonly takeReply: (reply: NoteReply, asked: Moment) => void;
+  readonly takeHead: (news: HeadRead) => void;
+  /** Handles a peer's reply to a request that was sent at `requestedAt`. */
+  readonly takeReply: (reply: NoteReply, requestedAt: Moment) => void;
 }
 
 export interface NoteSources {
-  /** Looks at the store, or at peers, now. */
+  /** Reads the note from the store or from peers now. */
   refresh(): Promise<void>;
-  /** Looks at both; ends with the first that helps, or after a second. */
+  /**
+   * Reads from the store and from peers at once. Resolves once the store is
+   * read or, if that fails, once peers have replied too; after a second in any
+   * case.
+   */
   lookAround(): Promise<void>;
 }
 
@@ -55,11 +61,11 @@
   const { store, headKey, membership, signal, appliedNumber } = options;
   const fetching = new Set<string>();
 
-  const stopNews = membership.onNews((record) => {
+  const unsubscribe = membership.onNews((record) => {
     if (record.left || record.shared.note <= appliedNumber()) return;
-    void fetchSoon(record.id);
+    void fetchAfterDelay(record.id);
   });
-  signal.addEventListener("abort", stopNews, { once: true });
+  signal.addEventListener("abort", unsubscribe, { once: true });
   void followHead({ store, headKey, signal, take: options.takeHead });
   void refreshRepeatedly();
 
@@ -74,7 +80,9 @@
     if (!options.listedSince()) {
       return UNLISTED_ALLOWANCE_MS / RENEWALS_PER_ALLOWANCE;
     }
-    const everyMs = isReader(membership) ? READ_EVERY_MS : ASK_EVERY_MS;
+    const everyMs = isReader(membership)
+      ? STORE_READ_INTERVAL_MS
+      : PEER_REQUEST_INTERVAL_MS;
     return Math.min(everyMs, options.allowanceMs / RENEWALS_PER_ALLOWANCE);
   }
 
@@ -93,7 +101,7 @@
     return news !== null;
   }
 
-  /** Asks a few peers; resolves to whether one answered. */
+  /** Requests the note from a few peers; resolves to whether one replied. */
   async function askPeers(): Promise<boolean> {
     const answered = await Promise.all(
       choosePeersToAsk(membership).map((address) => askPeer(address)),
@@ -102,7 +110,7 @@
   }
 
   async function askPeer(address: Address): Promise<boolean> {
-    const asked = readMoment();
+    const requestedAt = readMoment();
     const { id, failureDomain, incarnation, peer } = membership.self();
     const from = { id, failureDomain, incarnation, peer };
     const params: NoteRequest = { from, above: appliedNumber() };
@@ -111,21 +119,23 @@
     });
     if (result.kind !== "ok") return false;
     const parsed = noteReplySchema.safeParse(result.value);
-    if (parsed.success) options.takeReply(parsed.data, asked);
+    if (parsed.success) options.takeReply(parsed.data, requestedAt);
     return parsed.success;
   }
 
   /**
-   * News of a note comes to all at once; most have it from their watch
-   * already. The rest ask over a span that grows with the fleet, so that one
-   * instance is not asked for the record by 340 others in the same moment.
+   * Fetches a newer note from a peer after a random delay. All instances learn
+   * of the number at about the same time, and most already have the record from
+   * their watch. The delay grows with the size of the fleet, so that 340
+   * instances do not request the record from one peer at the same time.
    */
-  async function fetchSoon(id: string): Promise<void> {
+  async function fetchAfterDelay(id: string): Promise<void> {
     const members = membership.peers();
     const peer = members.find(({ record }) => record.id === id);
-    if (!peer || fetching.has(id) || fetching.size >= LARGEST_FETCHES) return;
+    if (!peer || fetching.has(id) || fetching.size >= MAX_CONCURRENT_FETCHES)
+      return;
     fetching.add(id);
-    const spanMs = Math.min(members.length, LARGEST_FETCH_DELAY_MS);
+    const spanMs = Math.min(members.length, MAX_FETCH_DELAY_MS);
     await pause(Math.random() * spanMs, signal);
     if (peer.record.shared.note > appliedNumber()) {
       await askPeer(peer.record.peer);
@@ -134,10 +144,12 @@
   }
 
   async function lookAround(): Promise<void> {
-    const store = readStore();
-    const both = Promise.all([store, askPeers()]);
-    const helped = store.then((read) => (read ? undefined : both));
-    await Promise.race([helped, pause(LOOK_AROUND_WITHIN_MS, signal)]);
+    const storeRead = readStore();
+    const bothRefreshes = Promise.all([storeRead, askPeers()]);
+    const refreshed = storeRead.then((read) =>
+      read ? undefined : bothRefreshes,
+    );
+    await Promise.race([refreshed, pause(REFRESH_TIMEOUT_MS, signal)]);
   }
 
   return { refresh, lookAround };
--- a/packages/release/src/note_status.ts
+++ b/packages/release/src/note_status.ts
@@ -1,4 +1,5 @@
-/** Puts together how far a note has come. */
+/** Summarises how far a note has been applied. */
+
 import type {
   NoteConfirmation,
   NotePhase,
@@ -8,13 +9,16 @@
 export type InstanceLine = NoteStatus["instances"][number];
 export type EngineLine = NoteStatus["engines"][number];
 
-/** An engine that can answer, with its failure domain. */
+/** An engine that can answer requests, with its failure domain. */
 export interface EngineName {
   readonly id: string;
   readonly failureDomain: string;
 }
 
-/** One line for each engine, from what the instances that order them say. */
+/**
+ * Describes each engine by the confirmation with the highest note number that
+ * an instance ordering it reported.
+ */
 export function describeEngines(
   number: number,
   options: {
@@ -22,15 +26,19 @@
     readonly engines: readonly EngineName[];
   },
 ): readonly EngineLine[] {
-  const heard = new Map<string, { confirmed: number; stopped: boolean }>();
+  const latestByEngine = new Map<
+    string,
+    { confirmed: number; stopped: boolean }
+  >();
   for (const confirmation of options.confirmations) {
     for (const { engine, confirmed, stopped } of confirmation.engines) {
-      const earlier = heard.get(engine)?.confirmed ?? -1;
-      if (confirmed > earlier) heard.set(engine, { confirmed, stopped });
+      const earlier = latestByEngine.get(engine)?.confirmed ?? -1;
+      if (confirmed > earlier)
+        latestByEngine.set(engine, { confirmed, stopped });
     }
   }
   return options.engines.map(({ id, failureDomain }) => {
-    const line = heard.get(id);
+    const line = latestByEngine.get(id);
     if (!line) {
       const detail = "no instance orders it now";
       return { id, failureDomain, state: "unheard" as const, detail };
@@ -44,8 +52,11 @@
   });
 }
 
-/** Accepted: no instance can answer otherwise. In force: engines as well. */
-export function phaseOf(
+/**
+ * Computes the phase of a note. It is accepted once every instance has
+ * confirmed it or stopped, and in force once every engine has confirmed too.
+ */
+export function computePhase(
   instances: readonly InstanceLine[],
   engines: readonly EngineLine[],
 ): NotePhase {
--- a/packages/release/src/pause_detector.ts
+++ b/packages/release/src/pause_detector.ts
@@ -1,32 +1,32 @@
-/** Notices that the process did not run for a while. */
+/** Detects that the process was suspended. */
 import { elapsedMs, readMoment } from "./moment.ts";
 
-const LOOK_EVERY_MS = 100;
-/** Longer than what a busy event loop or a collection of garbage takes. */
-const PAUSE_MS = 500;
+const CHECK_INTERVAL_MS = 100;
+/** Longer than a busy event loop or a garbage collection blocks timers. */
+const MIN_PAUSE_MS = 500;
 
 export interface PauseDetector {
-  /** Looks now; `onPause` is called before this returns. */
+  /** Checks for a pause now; calls `onPause` before it returns. */
   look(): void;
   stop(): void;
 }
 
 /**
- * Creates a detector. A frozen process cannot know it was frozen: when it is
- * thawed, sockets with queued requests may be served before any timer runs.
- * So each point of use looks for itself, and the timer only bounds the gap
- * that ordinary running shows.
+ * Creates a detector, which measures the time between two checks. When a frozen
+ * process resumes, queued requests may be served before any timer runs, so code
+ * that must not miss a pause calls `look` itself. The timer keeps the time
+ * between checks short while the process runs.
  */
 export function createPauseDetector(options: {
   readonly onPause: (gapMs: number) => void;
 }): PauseDetector {
-  let seen = readMoment();
-  const timer = setInterval(look, LOOK_EVERY_MS);
+  let lastCheckAt = readMoment();
+  const timer = setInterval(look, CHECK_INTERVAL_MS);
 
   function look(): void {
-    const gapMs = elapsedMs(seen);
-    seen = readMoment();
-    if (gapMs >= PAUSE_MS) options.onPause(gapMs);
+    const gapMs = elapsedMs(lastCheckAt);
+    lastCheckAt = readMoment();
+    if (gapMs >= MIN_PAUSE_MS) options.onPause(gapMs);
   }
 
   return { look, stop: () => clearInterval(timer) };
--- a/packages/release/src/publisher.ts
+++ b/packages/release/src/publisher.ts
@@ -8,25 +8,25 @@
 } from "@rosemarypin/schemas";
 import type { ObjectStore, StoredObject } from "@rosemarypin/store";
 import { createLogger } from "@rosemarypin/telemetry";
-import { foldNote, type NoteProblem } from "./fold.ts";
+import { mergeNote, type NoteProblem } from "./merge_note.ts";
 import { createNoteHistory, parseStoredNote } from "./note_history.ts";
 import type { NoteKeeper } from "./note_keeper.ts";
 import { createWithdrawnNames, splitWithdrawals } from "./withdrawn_names.ts";
 
-/** The store takes values up to a megabyte; some room is left for its own. */
-const LARGEST_RECORD_BYTES = 950_000;
+/** The store limits a value to 1 MB; the rest is left for its overhead. */
+const MAX_RECORD_BYTES = 950_000;
 
 const log = createLogger("release");
 
-/** Why a note was not published, or that nobody knows yet. */
+/** The outcome of an attempt to publish a note. */
 export type PublishResult =
   | {
       readonly kind: "recorded";
       readonly record: NoteRecord;
-      /** An earlier try with the same publish id had recorded it. */
+      /** Whether an earlier attempt with the same publish id recorded it. */
       readonly repeated: boolean;
     }
-  /** Another note came first; `head` is the one to supersede. */
+  /** Another note was recorded first; `head` is the one to supersede. */
   | { readonly kind: "conflict"; readonly head: NoteRecord | null }
   | { readonly kind: "invalid"; readonly problems: readonly NoteProblem[] }
   /** The store cannot be reached; this call recorded nothing. */
@@ -43,9 +43,9 @@
 
 export interface Publisher {
   publish(note: ReleaseNote): Promise<PublishResult>;
-  /** One recorded note; `undefined` if the store is away. */
+  /** Finds a recorded note; `undefined` if the store is unreachable. */
   find(number: number): Promise<NoteRecord | null | undefined>;
-  /** The latest notes, newest first; `null` if the store is away. */
+  /** Lists the latest notes, newest first; `null` if the store fails. */
   history(limit?: number): Promise<readonly NoteRecord[] | null>;
 }
 
@@ -60,12 +60,14 @@
     const read = await store.read(headKey);
     if (read.kind !== "ok") return unavailable(read.kind);
     const stored = parseStoredNote(read.value);
-    // Taking a head that cannot be read for no head would start again from
-    // nothing, and everything withdrawn would be forgotten.
+    // Treating an unreadable head as a missing one would restart from an empty
+    // catalogue and lose all withdrawals.
     if (stored.kind === "unreadable") return unreadableHead();
     const head = stored.kind === "note" ? stored.record : null;
-    if (head?.note.publishId === note.publishId) return recorded(head, true);
-    if ((head?.number ?? 0) !== note.supersedes) return settle(note, head);
+    if (head?.note.publishId === note.publishId)
+      return applyRecorded(head, true);
+    if ((head?.number ?? 0) !== note.supersedes)
+      return resolveSuperseded(note, head);
     return record(note, { head, version: read.value?.version ?? null });
   }
 
@@ -75,70 +77,76 @@
   ): Promise<PublishResult> {
     const number = note.supersedes + 1;
     const catalogue = base.head?.catalogue ?? emptyCatalogue;
-    const folded = foldNote(catalogue, note, { number });
+    const folded = mergeNote(catalogue, note, { number });
     if (folded.kind === "invalid") return folded;
-    const { kept, moved } = splitWithdrawals(folded.catalogue.withdrawn, {
-      before: number,
-    });
-    const next: NoteRecord = {
+    const { kept: keptWithdrawals, moved: movedWithdrawals } = splitWithdrawals(
+      folded.catalogue.withdrawn,
+      {
+        before: number,
+      },
+    );
+    const nextRecord: NoteRecord = {
       number,
       note,
-      catalogue: { ...folded.catalogue, withdrawn: kept },
+      catalogue: { ...folded.catalogue, withdrawn: keptWithdrawals },
       recordedAt: Date.now(),
       recordedBy: options.instance,
     };
-    const size = Buffer.byteLength(JSON.stringify(next));
-    if (size > LARGEST_RECORD_BYTES) return tooLarge(size);
+    const size = Buffer.byteLength(JSON.stringify(nextRecord));
+    if (size > MAX_RECORD_BYTES) return tooLarge(size);
     const problems = await withdrawnNames.findReused(note);
     if (problems === null) return unavailable("withdrawn names not read");
     if (problems.length > 0) return { kind: "invalid", problems };
-    // The old head goes to history first, and withdrawals that it alone holds
-    // to their own objects: once it is overwritten, no other object would
-    // hold them.
+    // Before the head is overwritten, its note is copied to the history and
+    // the withdrawals that the next head drops to objects of their own. No
+    // other object holds them.
     const [isInHistory, areMoved] = await Promise.all([
       base.head === null || history.keep(base.head),
-      withdrawnNames.keep(moved),
+      withdrawnNames.keep(movedWithdrawals),
     ]);
     if (!isInHistory) return unavailable("history could not be written");
     if (!areMoved) return unavailable("old withdrawals could not be written");
-    const written = await store.write(headKey, next, {
+    const written = await store.write(headKey, nextRecord, {
       expectedVersion: base.version,
     });
-    if (written.kind === "ok") return recorded(next, false);
-    if (written.kind === "conflict") return lostTo(written.actual, note);
+    if (written.kind === "ok") return applyRecorded(nextRecord, false);
+    if (written.kind === "conflict")
+      return resolveConflict(written.actual, note);
     if (written.kind === "reply_lost") return resolveLostReply(note);
     return unavailable(written.kind);
   }
 
   /**
-   * A lost reply hides whether the write took effect. The publish id in the
-   * head tells: it is ours, or another note's, or still the old one.
+   * Finds out after a lost reply whether the write took effect: the head then
+   * holds this note, another one, or still the previous one.
    */
   async function resolveLostReply(note: ReleaseNote): Promise<PublishResult> {
     const read = await store.read(headKey);
     if (read.kind !== "ok") return unknown("the store's answer was lost");
     const stored = parseStoredNote(read.value);
     const number = stored.kind === "note" ? stored.record.number : 0;
-    if (number > note.supersedes) return lostTo(read.value, note);
+    if (number > note.supersedes) return resolveConflict(read.value, note);
     return unknown("the write may still arrive");
   }
 
-  function lostTo(
+  function resolveConflict(
     actual: StoredObject | null,
     note: ReleaseNote,
   ): PublishResult | Promise<PublishResult> {
     const stored = parseStoredNote(actual);
     if (stored.kind === "unreadable") return unreadableHead();
     const head = stored.kind === "note" ? stored.record : null;
-    if (head?.note.publishId === note.publishId) return recorded(head, true);
-    return settle(note, head);
+    if (head?.note.publishId === note.publishId)
+      return applyRecorded(head, true);
+    return resolveSuperseded(note, head);
   }
 
   /**
-   * Another note is the head: this one lost, or it won earlier and has been
-   * superseded since. If it won, its number is the one after `supersedes`.
+   * Handles a head that holds another note: this note lost the race, or was
+   * recorded earlier and has been superseded. If it was recorded, its number
+   * is `supersedes + 1`.
    */
-  async function settle(
+  async function resolveSuperseded(
     note: ReleaseNote,
     head: NoteRecord | null,
   ): Promise<PublishResult> {
@@ -151,13 +159,13 @@
     if (winner?.note.publishId !== note.publishId) {
       return { kind: "conflict", head };
     }
-    // The head is applied, not the winner: what the history keeps of a note
-    // lacks what was withdrawn before it.
+    // The head is applied instead of the recorded note, because records in the
+    // history lack the withdrawals of earlier notes.
     if (head) keeper.offer(head);
     return reportRecorded(winner, true);
   }
 
-  function recorded(record: NoteRecord, repeated: boolean): PublishResult {
+  function applyRecorded(record: NoteRecord, repeated: boolean): PublishResult {
     keeper.offer(record);
     return reportRecorded(record, repeated);
   }
@@ -183,6 +191,6 @@
 }
 
 function tooLarge(size: number): PublishResult {
-  const message = `the record would have ${size} bytes, more than the ${LARGEST_RECORD_BYTES} that the store takes; withdraw what is not used any more or split the note`;
+  const message = `the record would have ${size} bytes, more than the ${MAX_RECORD_BYTES} that the store takes; withdraw what is not used any more or split the note`;
   return { kind: "invalid", problems: [{ line: "note", message }] };
 }
--- a/packages/release/src/publisher_test.ts
+++ b/packages/release/src/publisher_test.ts
@@ -20,7 +20,7 @@
   return { supersedes, publishId, reason, added, changed: [], withdrawn: [] };
 }
 
-/** Adds adapter `number`, and withdraws the one that the note before added. */
+/** Adds adapter `number` and withdraws the one of the previous note. */
 function withAdapters(number: number) {
   const adapter = (name: number) => ({
     kind: "adapter" as const,
@@ -61,20 +61,20 @@
 function createPair() {
   const memory = createMemoryStore();
   const network = createPeerNetwork();
-  const one = createInstance("one", { memory, network });
-  const two = createInstance("two", { memory, network });
-  return { one, two };
+  const firstInstance = createInstance("one", { memory, network });
+  const secondInstance = createInstance("two", { memory, network });
+  return { firstInstance, secondInstance };
 }
 
-describe("publishing", () => {
-  it("lets one of two racing operators win and tells the other", async () => {
-    // Two operators publish on top of note 0 at the same time, through two
-    // instances. Both read the same head. The store takes one write; without
-    // the condition the second would silently replace the first.
-    const { one, two } = createPair();
+describe("publisher", () => {
+  it("records one of two racing notes and reports a conflict for the other", async () => {
+    // Two operators publish on top of note 0 at the same time through two
+    // instances, which read the same head. Without a conditional write, the
+    // second note would silently replace the first.
+    const { firstInstance, secondInstance } = createPair();
     const results = await Promise.all([
-      one.publisher.publish(note(0, "publish-one")),
-      two.publisher.publish(note(0, "publish-two")),
+      firstInstance.publisher.publish(note(0, "publish-one")),
+      secondInstance.publisher.publish(note(0, "publish-two")),
     ]);
     const kinds = results.map(({ kind }) => kind).sort();
     expect(kinds).toEqual(["conflict", "recorded"]);
@@ -82,30 +82,36 @@
     expect(conflict).toMatchObject({ head: { number: 1 } });
   });
 
-  it("finds its own note after a lost reply", async () => {
-    // The operator's write takes effect, but the store's answer is lost. A
-    // plain retry would see a conflict with its own note and report a loss.
-    const { one } = createPair();
-    one.faults.loseReplies = 1;
-    const result = await one.publisher.publish(note(0, "publish-one"));
+  it("recognises its own note after a lost reply", async () => {
+    // The write takes effect, but the store's reply is lost. A plain retry
+    // would report a conflict with the operator's own note.
+    const { firstInstance } = createPair();
+    firstInstance.faults.loseReplies = 1;
+    const result = await firstInstance.publisher.publish(
+      note(0, "publish-one"),
+    );
     expect(result).toMatchObject({ kind: "recorded", repeated: true });
   });
 
-  it("does not claim success for a write that never arrived", async () => {
-    // The request itself is lost: nothing was written, and the operator must
-    // learn that the outcome is unknown rather than hear "recorded".
-    const { one } = createPair();
-    one.faults.loseRequests = 1;
-    const result = await one.publisher.publish(note(0, "publish-one"));
+  it("reports an unknown outcome if the write was lost", async () => {
+    // The request is lost and nothing is written. The publisher cannot know
+    // this, and must not report "recorded".
+    const { firstInstance } = createPair();
+    firstInstance.faults.loseRequests = 1;
+    const result = await firstInstance.publisher.publish(
+      note(0, "publish-one"),
+    );
     expect(result.kind).toBe("unknown");
   });
 
-  it("answers a repeated publish with the number it had", async () => {
-    const { one, two } = createPair();
-    await one.publisher.publish(note(0, "publish-one"));
-    await two.publisher.publish(note(1, "publish-two"));
-    const again = await two.publisher.publish(note(0, "publish-one"));
-    expect(again).toMatchObject({
+  it("answers a repeated publish id with the recorded number", async () => {
+    const { firstInstance, secondInstance } = createPair();
+    await firstInstance.publisher.publish(note(0, "publish-one"));
+    await secondInstance.publisher.publish(note(1, "publish-two"));
+    const retried = await secondInstance.publisher.publish(
+      note(0, "publish-one"),
+    );
+    expect(retried).toMatchObject({
       kind: "recorded",
       repeated: true,
       record: { number: 1 },
@@ -113,55 +119,55 @@
   });
 });
 
-describe("the note in use", () => {
-  it("never goes back to a lower number", async () => {
-    // A late peer offers note 1 after note 2 was applied; taking it would
-    // bring a withdrawn batch back.
-    const { one } = createPair();
-    const first = await one.publisher.publish(note(0, "publish-one"));
-    await one.publisher.publish(note(1, "publish-two"));
+describe("note keeper", () => {
+  it("never replaces a note by one with a lower number", async () => {
+    // A peer that is behind offers note 1 after note 2 was applied. Applying
+    // it would bring a withdrawn batch back.
+    const { firstInstance } = createPair();
+    const first = await firstInstance.publisher.publish(note(0, "publish-one"));
+    await firstInstance.publisher.publish(note(1, "publish-two"));
     if (first.kind !== "recorded") throw new Error("note 1 was not recorded");
-    expect(one.keeper.offer(first.record)).toBe(false);
-    expect(one.keeper.current()?.number).toBe(2);
+    expect(firstInstance.keeper.offer(first.record)).toBe(false);
+    expect(firstInstance.keeper.current()?.number).toBe(2);
   });
 });
 
-describe("the history", () => {
-  it("holds every recorded note and none that lost its race", async () => {
-    // Two operators race twice. The head that is overwritten is the only copy
-    // of the note before; if it were not kept first, the list of what was
-    // published would have a gap, and a lost reply could not be settled.
-    const { one, two } = createPair();
+describe("note history", () => {
+  it("lists every recorded note and none that lost the race", async () => {
+    // Two operators race twice. The head is the only copy of the previous note.
+    // If it were overwritten before it is copied, the list of notes would have
+    // a gap, and the outcome of a lost reply could not be found out.
+    const { firstInstance, secondInstance } = createPair();
     await Promise.all([
-      one.publisher.publish(note(0, "publish-one")),
-      two.publisher.publish(note(0, "publish-two")),
+      firstInstance.publisher.publish(note(0, "publish-one")),
+      secondInstance.publisher.publish(note(0, "publish-two")),
     ]);
     await Promise.all([
-      one.publisher.publish(note(1, "publish-three")),
-      two.publisher.publish(note(1, "publish-four")),
+      firstInstance.publisher.publish(note(1, "publish-three")),
+      secondInstance.publisher.publish(note(1, "publish-four")),
     ]);
-    const history = await one.publisher.history();
+    const history = await firstInstance.publisher.history();
     expect(history?.map(({ number }) => number)).toEqual([2, 1]);
-    expect(history?.[0]).toEqual(one.keeper.applied());
+    expect(history?.[0]).toEqual(firstInstance.keeper.applied());
   });
 
-  it("misses no note that is recorded while it is read", async () => {
-    // An operator lists the notes while another publishes. Between two reads
-    // the head moves to the history; read in the wrong order, the list has
-    // neither the old place nor the new one of a note.
+  it("lists all notes while another one is being recorded", async () => {
+    // An operator lists the notes while another one publishes. The head moves
+    // to the history between two reads. Read in the wrong order, the note would
+    // be found in neither place.
     const memory = createMemoryStore();
     const network = createPeerNetwork();
-    const two = createInstance("two", { memory, network });
-    await two.publisher.publish(note(0, "publish-one"));
+    const secondInstance = createInstance("two", { memory, network });
+    await secondInstance.publisher.publish(note(0, "publish-one"));
     const { store } = memory.client();
     let calls = 0;
     async function publishAfterFirst(): Promise<void> {
       calls += 1;
       if (calls > 1) return;
-      await two.publisher.publish(note(1, "publish-two"));
-      await two.publisher.publish(note(2, "publish-three"));
+      await secondInstance.publisher.publish(note(1, "publish-two"));
+      await secondInstance.publisher.publish(note(2, "publish-three"));
     }
-    const watched: typeof store = {
+    const racingStore: typeof store = {
       ...store,
       async read(key) {
         const result = await store.read(key);
@@ -174,45 +180,52 @@
         return result;
       },
     };
-    const history = createNoteHistory({ deployment: "test", store: watched });
+    const history = createNoteHistory({
+      deployment: "test",
+      store: racingStore,
+    });
     expect((await history.list())?.map(({ number }) => number)).toEqual([1]);
   });
 
-  it("finds a note that leaves the head while it is looked for", async () => {
-    // An operator's reply was lost; the second try looks for the note that
-    // won. Just then another note moves it from the head to the history. Read
-    // in the wrong order, it is in neither, and a note that won is called lost.
+  it("finds a note that moves from the head to the history", async () => {
+    // After a lost reply, the retry looks for the recorded note while another
+    // publish moves it from the head to the history. Read in the wrong order,
+    // it would be found in neither, and the retry would report a conflict.
     const memory = createMemoryStore();
     const network = createPeerNetwork();
-    const two = createInstance("two", { memory, network });
-    await two.publisher.publish(note(0, "publish-one"));
+    const secondInstance = createInstance("two", { memory, network });
+    await secondInstance.publisher.publish(note(0, "publish-one"));
     const { store } = memory.client();
     let calls = 0;
-    const watched: typeof store = {
+    const racingStore: typeof store = {
       ...store,
       async read(key) {
         const result = await store.read(key);
         calls += 1;
-        if (calls === 1) await two.publisher.publish(note(1, "publish-two"));
+        if (calls === 1)
+          await secondInstance.publisher.publish(note(1, "publish-two"));
         return result;
       },
     };
-    const history = createNoteHistory({ deployment: "test", store: watched });
+    const history = createNoteHistory({
+      deployment: "test",
+      store: racingStore,
+    });
     expect((await history.find(1))?.note.publishId).toBe("publish-one");
   });
 
-  it("keeps each withdrawal once, and loses none", async () => {
-    // Each note adds an adapter and withdraws the one before. Repeated in all
-    // later records, withdrawals would fill the store with gigabytes; left out
-    // of all, nobody could say any more which note withdrew what.
-    const { one } = createPair();
-    await one.publisher.publish(note(0, "publish-one"));
+  it("stores each withdrawal exactly once", async () => {
+    // Each note adds an adapter and withdraws the previous one. If all later
+    // records repeated the withdrawals, they would fill the store with
+    // gigabytes. If no record had them, the withdrawing note would be lost.
+    const { firstInstance } = createPair();
+    await firstInstance.publisher.publish(note(0, "publish-one"));
     for (let number = 1; number <= 12; number += 1) {
-      await one.publisher.publish(withAdapters(number));
+      await firstInstance.publisher.publish(withAdapters(number));
     }
-    const [head, ...older] = (await one.publisher.history(20)) ?? [];
+    const [head, ...older] = (await firstInstance.publisher.history(20)) ?? [];
     const kept = older.map(({ number, catalogue }) =>
-      catalogue.withdrawn.map((one) => one.number === number),
+      catalogue.withdrawn.map((withdrawal) => withdrawal.number === number),
     );
     expect(kept.filter((own) => own.length > 1 || own.includes(false))).toEqual(
       [],
@@ -225,17 +238,17 @@
     expect(head?.catalogue.withdrawn).toHaveLength(11);
   });
 
-  it("is not what an instance applies", async () => {
-    // An operator's reply was lost and later notes came. Asked again through
-    // another instance, the note is found in the history, where the older
-    // withdrawals are left out. Applied from there, callers of what was
-    // withdrawn would hear that it never was.
+  it("is not the source of the note that an instance applies", async () => {
+    // A reply is lost, later notes are recorded, and the publish is retried
+    // through another instance. It finds the note in the history, where records
+    // omit earlier withdrawals. Applying that record would report withdrawn
+    // names as unknown to callers.
     const memory = createMemoryStore();
     const network = createPeerNetwork();
-    const one = createInstance("one", { memory, network });
-    await one.publisher.publish(note(0, "publish-one"));
+    const firstInstance = createInstance("one", { memory, network });
+    await firstInstance.publisher.publish(note(0, "publish-one"));
     for (const number of [1, 2, 3]) {
-      await one.publisher.publish(withAdapters(number));
+      await firstInstance.publisher.publish(withAdapters(number));
     }
     const { store, faults } = memory.client();
     faults.down = true;
@@ -245,36 +258,39 @@
     const keeper = createNoteKeeper({ ...common, store, membership, peers });
     const reached = memory.client().store;
     const publisher = createPublisher({ ...common, store: reached, keeper });
-    const again = await publisher.publish(withAdapters(2));
-    expect(again).toMatchObject({ kind: "recorded", record: { number: 3 } });
-    expect(keeper.applied()).toEqual(one.keeper.applied());
+    const retried = await publisher.publish(withAdapters(2));
+    expect(retried).toMatchObject({ kind: "recorded", record: { number: 3 } });
+    expect(keeper.applied()).toEqual(firstInstance.keeper.applied());
     keeper.stop();
   });
 
-  it("is not begun again over a head that cannot be read", async () => {
-    // A newer release wrote the head in another form. Taken for no head, a
-    // note on top of 0 would replace it and forget everything withdrawn.
+  it("is not restarted when the head cannot be parsed", async () => {
+    // A newer release wrote the head in another format. Treated as missing, it
+    // would be replaced by a note on top of 0, and all withdrawals would be
+    // lost.
     const memory = createMemoryStore();
     const network = createPeerNetwork();
-    const one = createInstance("one", { memory, network });
+    const firstInstance = createInstance("one", { memory, network });
     const { store } = memory.client();
     const key = storedKeys.head("test");
     await store.write(key, { form: 2 }, { expectedVersion: null });
-    const result = await one.publisher.publish(note(0, "publish-one"));
+    const result = await firstInstance.publisher.publish(
+      note(0, "publish-one"),
+    );
     expect(result.kind).toBe("unavailable");
     expect(memory.objects().map(({ value }) => value)).toContainEqual({
       form: 2,
     });
   });
 
-  it("does not call a note lost while it cannot be read", async () => {
-    // The operator's note won and was superseded; its reply was lost. On the
-    // second try the history is away, and "conflict" would be a false answer.
+  it("does not report a conflict while it cannot be read", async () => {
+    // The note was recorded and superseded, but its reply was lost. The retry
+    // cannot read the history, so "conflict" could be a false answer.
     const memory = createMemoryStore();
     const network = createPeerNetwork();
-    const one = createInstance("one", { memory, network });
-    await one.publisher.publish(note(0, "publish-one"));
-    await one.publisher.publish(note(1, "publish-two"));
+    const firstInstance = createInstance("one", { memory, network });
+    await firstInstance.publisher.publish(note(0, "publish-one"));
+    await firstInstance.publisher.publish(note(1, "publish-two"));
     const { store } = memory.client();
     const onlyHead: typeof store = {
       ...store,
@@ -287,9 +303,9 @@
       deployment: "test",
       instance: "two",
       store: onlyHead,
-      keeper: one.keeper,
+      keeper: firstInstance.keeper,
     });
-    const again = await publisher.publish(note(0, "publish-one"));
-    expect(again.kind).toBe("unknown");
+    const retried = await publisher.publish(note(0, "publish-one"));
+    expect(retried.kind).toBe("unknown");
   });
 });
--- a/packages/release/src/recall_test.ts
+++ b/packages/release/src/recall_test.ts
@@ -38,7 +38,7 @@
   withdrawn: [{ kind: "version", model: "assist", version: "v1" }],
 });
 
-/** Instances with everything that the life of a note needs, in process. */
+/** Creates instances that publish, apply and confirm notes in one process. */
 function createFleet() {
   const memory = createMemoryStore();
   const network = createPeerNetwork();
@@ -78,7 +78,7 @@
       peers,
       keeper,
       confirmer,
-      // Nobody orders it, so a note is accepted and not in force here.
+      // No instance orders this engine, so no note gets past `accepted`.
       engines: () => [{ id: "engine", failureDomain: "a" }],
       readRegistry: () => readRegistry({ deployment, store }),
       allowanceMs: ALLOWANCE_MS,
@@ -101,7 +101,7 @@
   return { start, network, memory };
 }
 
-/** A store of which a test can take the head object away. */
+/** Wraps a store so that a test can make the head object unreadable. */
 function withHeadFault(whole: ObjectStore) {
   const headKey = storedKeys.head(deployment);
   const head = { isAway: false };
@@ -142,154 +142,156 @@
 beforeEach(() => void vi.useFakeTimers());
 afterEach(() => void vi.useRealTimers());
 
-describe("accepted", () => {
-  it("waits for an instance that only the store's list names", async () => {
-    // An instance reads note 1 and then loses store and peers before anyone
-    // hears of it. Note 1 is recalled. Everyone known confirms, and the
-    // operator would read "accepted" while the lost one answers from v1.
+describe("the accepted phase", () => {
+  it("is withheld for an instance that only the store's list names", async () => {
+    // An instance reads note 1 and loses the store and all peers before any
+    // peer learns of it. Note 1 is recalled, and all instances known to peers
+    // confirm. Without the store's list, the recall would be reported as
+    // accepted while the lost instance still answers from v1.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const lost = fleet.start("lost", "b");
+    const firstInstance = fleet.start("one", "a");
+    const lostInstance = fleet.start("lost", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
+    await publish(firstInstance, addV1);
     fleet.network.hide("lost");
     cutOff(fleet, ["lost", "one"]);
-    lost.faults.down = true;
-    await publish(one, recallV1);
-    expect(lost.keeper.current()?.number).toBe(1);
-    expect(await statusOf(one, 2)).toEqual({
+    lostInstance.faults.down = true;
+    await publish(firstInstance, recallV1);
+    expect(lostInstance.keeper.current()?.number).toBe(1);
+    expect(await statusOf(firstInstance, 2)).toEqual({
       phase: "recorded",
       states: ["lost unheard", "one confirmed"],
     });
   });
 
-  it("is no lie about an instance that was listed late", async () => {
-    // A new instance reads note 1 while its entry is on its way and gets lost.
-    // Note 1 is recalled and accepted: no list and no peer names it. Its entry
-    // arrives, and the head cannot be read just then. Its early read of the
-    // head must not let it answer from v1 now.
+  it("stays true when an instance is listed after the recall", async () => {
+    // A new instance reads note 1 before its entry is written, and is then cut
+    // off. Note 1 is recalled and accepted, since no list and no peer names the
+    // instance. Its entry is written later while the head cannot be read. The
+    // early read of the head must not let it answer from v1.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
+    const firstInstance = fleet.start("one", "a");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
+    await publish(firstInstance, addV1);
     fleet.network.hide("late");
-    const late = fleet.start("late", "b");
+    const lateInstance = fleet.start("late", "b");
     cutOff(fleet, ["late", "one"]);
-    late.faults.loseRequests = Number.POSITIVE_INFINITY;
+    lateInstance.faults.loseRequests = Number.POSITIVE_INFINITY;
     await vi.advanceTimersByTimeAsync(1);
-    expect(late.keeper.applied()?.number).toBe(1);
-    late.head.isAway = true;
-    await publish(one, recallV1);
-    expect((await statusOf(one, 2)).phase).toBe("accepted");
-    late.faults.loseRequests = 0;
+    expect(lateInstance.keeper.applied()?.number).toBe(1);
+    lateInstance.head.isAway = true;
+    await publish(firstInstance, recallV1);
+    expect((await statusOf(firstInstance, 2)).phase).toBe("accepted");
+    lateInstance.faults.loseRequests = 0;
     await vi.advanceTimersByTimeAsync(10_000);
     const keys = fleet.memory.objects().map(({ key }) => key);
     expect(keys).toContain(storedKeys.instances(deployment, "b"));
-    expect(late.keeper.current()).toBeNull();
+    expect(lateInstance.keeper.current()).toBeNull();
   });
 
-  it("waits for an instance that only a peer has told the note", async () => {
-    // In an outage of the store a new instance learns note 1 from a peer; no
-    // list can name it. The store returns for the others, note 1 is recalled
-    // elsewhere, and the instance that collects has never heard of the new one.
+  it("is withheld for an instance that only a peer names", async () => {
+    // During a store outage a new instance gets note 1 from a peer, and the
+    // store's list does not name it. After the outage note 1 is recalled
+    // through another instance, which does not know the new one.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
-    const late = fleet.start("late", "a", { storeDown: true });
+    await publish(firstInstance, addV1);
+    const lateInstance = fleet.start("late", "a", { storeDown: true });
     fleet.network.hide("late");
     cutOff(fleet, ["late", "two"]);
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(late.keeper.current()?.number).toBe(1);
+    expect(lateInstance.keeper.current()?.number).toBe(1);
     cutOff(fleet, ["late", "one"]);
-    await publish(two, recallV1);
-    expect(await statusOf(two, 2)).toEqual({
+    await publish(secondInstance, recallV1);
+    expect(await statusOf(secondInstance, 2)).toEqual({
       phase: "recorded",
       states: ["late unheard", "one confirmed", "two confirmed"],
     });
   });
 
-  it("is not claimed without the store's list", async () => {
-    // The store goes away right after a recall. All known instances have the
-    // note from each other, but an unknown one cannot be excluded.
+  it("is withheld until the store's list is read", async () => {
+    // The store fails right after a note is recorded. All known instances
+    // have the note, but without the list unknown ones cannot be excluded.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
+    const firstInstance = fleet.start("one", "a");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
-    one.faults.down = true;
-    expect((await statusOf(one, 1)).phase).toBe("recorded");
-    one.faults.down = false;
-    expect((await statusOf(one, 1)).phase).toBe("accepted");
+    await publish(firstInstance, addV1);
+    firstInstance.faults.down = true;
+    expect((await statusOf(firstInstance, 1)).phase).toBe("recorded");
+    firstInstance.faults.down = false;
+    expect((await statusOf(firstInstance, 1)).phase).toBe("accepted");
   });
 
-  it("takes a process that has ended as stopped, after a while", async () => {
-    // An instance crashes during a recall. Its end is evidence for itself at
-    // once, and for an unlisted instance that lived on its word a little later.
+  it("counts an ended process as stopped after the unlisted allowance", async () => {
+    // An instance crashes while a note is published. Its refused connection
+    // shows at once that it has ended, but an unlisted instance that got its
+    // note from it may serve a little longer.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    two.node.kill();
-    await publish(one, addV1);
-    expect((await statusOf(one, 1)).phase).toBe("recorded");
+    secondInstance.node.kill();
+    await publish(firstInstance, addV1);
+    expect((await statusOf(firstInstance, 1)).phase).toBe("recorded");
     await vi.advanceTimersByTimeAsync(3_000);
-    expect(await statusOf(one, 1)).toEqual({
+    expect(await statusOf(firstInstance, 1)).toEqual({
       phase: "accepted",
       states: ["one confirmed", "two stopped"],
     });
   });
 });
 
-describe("a failure domain that is cut off", () => {
-  it("hears of a recall from peers when the platform is away", async () => {
+describe("a failure domain without store or peers", () => {
+  it("receives a recall from peers when the platform is unreachable", async () => {
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
-    two.faults.down = true;
-    await publish(one, recallV1);
-    expect(two.keeper.current()?.number).toBe(2);
-    expect((await statusOf(one, 2)).phase).toBe("accepted");
+    await publish(firstInstance, addV1);
+    secondInstance.faults.down = true;
+    await publish(firstInstance, recallV1);
+    expect(secondInstance.keeper.current()?.number).toBe(2);
+    expect((await statusOf(firstInstance, 2)).phase).toBe("accepted");
   });
 
-  it("hears of it from the store when peers are away, and is named", async () => {
+  it("receives a note from the store without peers, but is not confirmed", async () => {
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
     cutOff(fleet, ["one", "two"]);
-    await publish(one, addV1);
-    expect(two.keeper.current()?.number).toBe(1);
-    expect(await statusOf(one, 1)).toEqual({
+    await publish(firstInstance, addV1);
+    expect(secondInstance.keeper.current()?.number).toBe(1);
+    expect(await statusOf(firstInstance, 1)).toEqual({
       phase: "recorded",
       states: ["one confirmed", "two unheard"],
     });
   });
 
-  it("serves on for its allowance, then cuts, and is then excused", async () => {
-    // Domain b loses the platform and all peers, and v1 is recalled. It cannot
-    // know. It serves v1 for as long as settings allow and is named until then;
-    // an excuse before its last answer is cut would be a lie.
+  it("serves for its allowance and counts as stopped only afterwards", async () => {
+    // Domain b loses the platform and all peers, and v1 is recalled. Domain b
+    // cannot learn of the recall and serves v1 until its allowance has elapsed.
+    // Reporting it as stopped earlier would accept the recall too early.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
+    await publish(firstInstance, addV1);
     const seen: NoteRecord[] = [];
-    two.keeper.onChange((record) => seen.push(record));
+    secondInstance.keeper.onChange((record) => seen.push(record));
     cutOff(fleet, ["one", "two"]);
-    two.faults.down = true;
-    await publish(one, recallV1);
+    secondInstance.faults.down = true;
+    await publish(firstInstance, recallV1);
     await vi.advanceTimersByTimeAsync(ALLOWANCE_MS / 2);
-    expect(two.keeper.current()?.number).toBe(1);
-    expect((await statusOf(one, 2)).phase).toBe("recorded");
+    expect(secondInstance.keeper.current()?.number).toBe(1);
+    expect((await statusOf(firstInstance, 2)).phase).toBe("recorded");
     await vi.advanceTimersByTimeAsync(ALLOWANCE_MS / 2);
-    expect(two.keeper.current()).toBeNull();
+    expect(secondInstance.keeper.current()).toBeNull();
     expect(seen.at(-1)?.catalogue.models).toEqual({});
     await vi.advanceTimersByTimeAsync(ALLOWANCE_MS * 0.02);
-    expect(await statusOf(one, 2)).toEqual({
+    expect(await statusOf(firstInstance, 2)).toEqual({
       phase: "accepted",
       states: ["one confirmed", "two stopped"],
     });
@@ -297,101 +299,103 @@
 });
 
 describe("a wall clock that is set forward", () => {
-  it("does not cut what an instance in contact runs", async () => {
-    // The clock of an instance jumps by hours, as after a wrong start. Taken
-    // for a pause, its contact has lapsed, and every answer would be cut.
+  it("does not cut answers of an instance that has contact", async () => {
+    // The wall clock of an instance jumps forward by two hours. Taken for
+    // elapsed time, it would make the contact lapse and cut all answers.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
+    const firstInstance = fleet.start("one", "a");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
+    await publish(firstInstance, addV1);
     const seen: NoteRecord[] = [];
-    one.keeper.onChange((record) => seen.push(record));
-    // Between two looks of the pause detector, the contact is checked first.
+    firstInstance.keeper.onChange((record) => seen.push(record));
+    // The contact is checked before the next check of the pause detector.
     await vi.advanceTimersByTimeAsync(320);
     vi.setSystemTime(Date.now() + 7_200_000);
     await vi.advanceTimersByTimeAsync(1_000);
     expect(seen).toEqual([]);
-    expect(one.keeper.current()?.number).toBe(1);
+    expect(firstInstance.keeper.current()?.number).toBe(1);
   });
 
-  it("excuses nobody early", async () => {
-    // The clock of the collecting instance jumps by an hour. By that clock the
-    // allowance of a silent instance has lapsed, which still answers.
+  it("does not shorten the allowance of a silent instance", async () => {
+    // The wall clock of the collecting instance jumps forward by an hour. By
+    // that clock the allowance of a silent instance has elapsed, although the
+    // instance still answers.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
+    const firstInstance = fleet.start("one", "a");
     fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
+    await publish(firstInstance, addV1);
     cutOff(fleet, ["one", "two"]);
-    await publish(one, recallV1);
+    await publish(firstInstance, recallV1);
     vi.setSystemTime(Date.now() + 3_600_000);
-    expect((await statusOf(one, 2)).phase).toBe("recorded");
+    expect((await statusOf(firstInstance, 2)).phase).toBe("recorded");
   });
 });
 
 describe("an outage of the store", () => {
-  it("lets a new instance answer from what a peer knows, or refuse", async () => {
+  it("lets a new instance answer only while a peer vouches for its note", async () => {
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
+    const firstInstance = fleet.start("one", "a");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
-    one.faults.down = true;
-    const late = fleet.start("late", "b", { storeDown: true });
-    expect(late.keeper.current()).toBeNull();
+    await publish(firstInstance, addV1);
+    firstInstance.faults.down = true;
+    const lateInstance = fleet.start("late", "b", { storeDown: true });
+    expect(lateInstance.keeper.current()).toBeNull();
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(late.keeper.current()?.number).toBe(1);
-    // Alone and unlisted, it stops soon: nobody could name it.
+    expect(lateInstance.keeper.current()?.number).toBe(1);
+    // Without its peer, the unlisted instance stops soon, because no other
+    // process could name it.
     cutOff(fleet, ["late", "one"]);
     await vi.advanceTimersByTimeAsync(2_500);
-    expect(late.keeper.current()).toBeNull();
+    expect(lateInstance.keeper.current()).toBeNull();
   });
 
-  it("records nothing, and what it recorded before still spreads", async () => {
+  it("stops publishing, but recorded notes still spread between peers", async () => {
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    one.faults.down = true;
-    expect((await publish(one, addV1)).kind).toBe("unavailable");
-    one.faults.down = false;
-    two.faults.down = true;
-    one.faults.loseReplies = 1;
-    const lost = await publish(one, addV1);
+    firstInstance.faults.down = true;
+    expect((await publish(firstInstance, addV1)).kind).toBe("unavailable");
+    firstInstance.faults.down = false;
+    secondInstance.faults.down = true;
+    firstInstance.faults.loseReplies = 1;
+    const lost = await publish(firstInstance, addV1);
     expect(lost).toMatchObject({ kind: "recorded", repeated: true });
-    one.faults.down = true;
+    firstInstance.faults.down = true;
     await vi.advanceTimersByTimeAsync(1_000);
-    expect(two.keeper.current()?.number).toBe(1);
+    expect(secondInstance.keeper.current()?.number).toBe(1);
   });
 });
 
 describe("an instance that was frozen", () => {
-  it("looks around before it answers what was queued", async () => {
-    // v1 is recalled while an instance is stopped. Thawed, it finds requests
-    // in its sockets before any timer or watch of its own has run, and its
-    // note says that v1 may answer.
+  it("refreshes its note before it answers queued requests", async () => {
+    // v1 is recalled while an instance is frozen. When it resumes, queued
+    // requests are handled before any of its timers or watches has run, and its
+    // note still allows v1.
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
-    const two = fleet.start("two", "b");
+    const firstInstance = fleet.start("one", "a");
+    const secondInstance = fleet.start("two", "b");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
-    two.faults.down = true;
+    await publish(firstInstance, addV1);
+    secondInstance.faults.down = true;
     cutOff(fleet, ["one", "two"]);
-    await publish(one, recallV1);
+    await publish(firstInstance, recallV1);
     fleet.network.heal();
-    two.faults.down = false;
+    secondInstance.faults.down = false;
     vi.setSystemTime(Date.now() + 10_000);
-    expect(two.keeper.current()?.number).toBe(1);
-    expect((await two.keeper.fresh())?.number).toBe(2);
+    expect(secondInstance.keeper.current()?.number).toBe(1);
+    expect((await secondInstance.keeper.fresh())?.number).toBe(2);
   });
 
-  it("goes on if it is cut off as well, without waiting for ever", async () => {
+  it("answers after a bounded wait if it is also cut off", async () => {
     const fleet = createFleet();
-    const one = fleet.start("one", "a");
+    const firstInstance = fleet.start("one", "a");
     await vi.advanceTimersByTimeAsync(2_000);
-    await publish(one, addV1);
-    one.faults.down = true;
+    await publish(firstInstance, addV1);
+    firstInstance.faults.down = true;
     vi.setSystemTime(Date.now() + 10_000);
-    const fresh = one.keeper.fresh();
+    const fresh = firstInstance.keeper.fresh();
     await vi.advanceTimersByTimeAsync(1_000);
     expect((await fresh)?.number).toBe(1);
   });
--- a/packages/release/src/registration.ts
+++ b/packages/release/src/registration.ts
@@ -1,11 +1,11 @@
 /**
- * Enters this instance into the store's list of instances.
+ * Registers this instance in the store's list of instances.
  *
- * An instance that nobody knows could answer from a withdrawn version while
- * the note is called accepted: it had read the head object just before the
- * recall and then lost its peers. So a read of the head counts only after the
- * entry is written; whoever reads the list after recording a note finds every
- * instance that can have read an earlier one.
+ * Without the list, an instance could read the head object just before a
+ * recall, lose its peers, and answer from the withdrawn version while the
+ * recall is reported as accepted. A read of the head therefore counts only
+ * after the entry is written. A process that records a note and then reads the
+ * list finds every instance that may have read an earlier note.
  */
 import type { PeerCaller } from "@rosemarypin/membership";
 import {
@@ -22,11 +22,11 @@
 import { backoffMs, jittered } from "./backoff.ts";
 import { type Moment, readMoment } from "./moment.ts";
 
-/** How often one instance of a domain looks for entries of ended ones. */
-const PRUNE_EVERY_MS = 60_000;
-/** Pause after another instance wrote first: many start at once. */
-const CONFLICT_PAUSE_MS = 100;
-const LEAVE_WITHIN_MS = 1_000;
+/** How often one instance per failure domain removes entries of ended ones. */
+const PRUNE_INTERVAL_MS = 60_000;
+/** Pause after a write conflict; many instances start at the same time. */
+const CONFLICT_RETRY_MS = 100;
+const LEAVE_TIMEOUT_MS = 1_000;
 
 const log = createLogger("registration");
 
@@ -36,45 +36,46 @@
   readonly allowanceMs: number;
   readonly store: ObjectStore;
   readonly peers: PeerCaller;
-  /** Whether this instance is the one of its domain that prunes. */
+  /** Whether this instance prunes the list of its failure domain. */
   readonly isPruner: () => boolean;
+  /** Whether a refused connection proves that a process has ended. */
   readonly refusedConnectionShowsEnd: boolean;
   /** Called once the store lists this instance. */
   readonly onListed: () => void;
 }
 
 export interface Registration {
-  /** Since when the store lists this instance. */
+  /** When the store listed this instance; `null` if it does not. */
   listedSince(): Moment | null;
-  /** Takes the entry out again; call it when nothing can answer any more. */
+  /** Removes the entry; call it once this instance can answer nothing. */
   leave(): Promise<void>;
   stop(): void;
 }
 
-/** Starts to enter the instance, for as long as it takes. */
+/** Starts to register the instance, and retries until that succeeds. */
 export function createRegistration(options: RegistrationOptions): Registration {
   const { store, self } = options;
   const key = storedKeys.instances(options.deployment, self.failureDomain);
   const stopping = new AbortController();
-  const own: RegistryEntry = { ...self, allowanceMs: options.allowanceMs };
+  const ownEntry: RegistryEntry = { ...self, allowanceMs: options.allowanceMs };
   let listed: Moment | null = null;
   void run();
 
   async function run(): Promise<void> {
-    await enter();
+    await register();
     while (!stopping.signal.aborted) {
-      await pause(jittered(PRUNE_EVERY_MS), stopping.signal);
+      await pause(jittered(PRUNE_INTERVAL_MS), stopping.signal);
       if (stopping.signal.aborted || !options.isPruner()) continue;
       await prune();
     }
   }
 
-  async function enter(): Promise<void> {
+  async function register(): Promise<void> {
     let failures = 0;
     while (!stopping.signal.aborted) {
-      const result = await change((entries) => [
-        ...entries.filter((entry) => !isSameAddress(entry, own)),
-        own,
+      const result = await updateEntries((entries) => [
+        ...entries.filter((entry) => !isSameAddress(entry, ownEntry)),
+        ownEntry,
       ]);
       if (result === "written") {
         listed = readMoment();
@@ -84,13 +85,13 @@
       failures = result === "conflict" ? 0 : failures + 1;
       const pauseMs =
         result === "conflict"
-          ? jittered(CONFLICT_PAUSE_MS)
+          ? jittered(CONFLICT_RETRY_MS)
           : backoffMs(failures);
       await pause(pauseMs, stopping.signal);
     }
   }
 
-  /** Drops entries whose process has ended: a refusal shows it. */
+  /** Removes entries whose process has ended, as a refused connection shows. */
   async function prune(): Promise<void> {
     if (!options.refusedConnectionShowsEnd) return;
     const read = await store.read(key);
@@ -98,31 +99,33 @@
     if (!entries) return;
     const ended: RegistryEntry[] = [];
     for (const entry of entries) {
-      if (isSameAddress(entry, own)) continue;
+      if (isSameAddress(entry, ownEntry)) continue;
       const result = await options.peers.call(entry.peer, "note.ping");
       if (result.kind === "refused") ended.push(entry);
     }
     if (ended.length === 0) return;
-    await change((latest) =>
-      latest.filter((entry) => !ended.some((gone) => isSame(gone, entry))),
+    await updateEntries((latest) =>
+      latest.filter(
+        (entry) => !ended.some((endedEntry) => isSame(endedEntry, entry)),
+      ),
     );
     log.info("pruned", { count: ended.length });
   }
 
-  async function change(
+  async function updateEntries(
     apply: (entries: readonly RegistryEntry[]) => readonly RegistryEntry[],
   ): Promise<"written" | "conflict" | "failed"> {
     const read = await store.read(key);
     if (read.kind !== "ok") return "failed";
     const entries = parseEntries(read.value);
     if (!entries) return "failed";
-    const next: RegistryObject = { instances: [...apply(entries)] };
-    const written = await store.write(key, next, {
+    const updated: RegistryObject = { instances: [...apply(entries)] };
+    const written = await store.write(key, updated, {
       expectedVersion: read.value?.version ?? null,
     });
     if (written.kind === "ok") return "written";
-    // A lost reply is settled by the next try, which reads again: writing an
-    // entry twice does no harm.
+    // A lost reply counts as failed. The retry reads the list first, and
+    // applying the same change twice is harmless.
     return written.kind === "conflict" ? "conflict" : "failed";
   }
 
@@ -133,21 +136,21 @@
       if (!listed) return;
       listed = null;
       const deadline = new Promise<void>((resolve) => {
-        setTimeout(resolve, LEAVE_WITHIN_MS).unref();
+        setTimeout(resolve, LEAVE_TIMEOUT_MS).unref();
       });
-      await Promise.race([withdraw(), deadline]);
+      await Promise.race([removeOwnEntry(), deadline]);
     },
     stop: () => stopping.abort(),
   };
 
-  async function withdraw(): Promise<void> {
-    const without = (entries: readonly RegistryEntry[]) =>
-      entries.filter((entry) => !isSame(entry, own));
-    while ((await change(without)) === "conflict");
+  async function removeOwnEntry(): Promise<void> {
+    const removeOwn = (entries: readonly RegistryEntry[]) =>
+      entries.filter((entry) => !isSame(entry, ownEntry));
+    while ((await updateEntries(removeOwn)) === "conflict");
   }
 }
 
-/** All instances in the store's list; `null` if it cannot be read. */
+/** Reads the store's list of all instances; `null` if it cannot be read. */
 export async function readRegistry(options: {
   readonly deployment: string;
   readonly store: ObjectStore;
@@ -173,7 +176,7 @@
   return isSameAddress(a, b) && a.incarnation === b.incarnation;
 }
 
-/** A process that binds an address shows that the one before has ended. */
+/** An address belongs to one running process; an older holder has ended. */
 function isSameAddress(a: RegistryEntry, b: RegistryEntry): boolean {
   return formatAddress(a.peer) === formatAddress(b.peer);
 }
--- a/packages/release/src/registration_test.ts
+++ b/packages/release/src/registration_test.ts
@@ -39,11 +39,10 @@
 beforeEach(() => void vi.useFakeTimers());
 afterEach(() => void vi.useRealTimers());
 
-it("lists every instance of a rack that starts at once", async () => {
-  // Forty instances write the same object at the same time. Some replies are
-  // lost after the write, and some writes are lost on their way. An instance
-  // that took a conflict or a lost reply for done would answer without being
-  // in the list.
+it("registration lists every instance of a rack that starts at once", async () => {
+  // Forty instances write the same object at the same time. Some replies and
+  // some requests are lost. An instance that took a conflict or a lost reply
+  // for success would serve without being listed.
   const rack = createRack();
   const started = Array.from({ length: 40 }, (_, index) => {
     const instance = rack.start(`entry-${index}`, { isPruner: false });
@@ -57,9 +56,9 @@
   expect(since).not.toContain(null);
 });
 
-it("drops who has ended, and keeps who is only silent", async () => {
-  // One process has ended and one is cut off. Taking the silent one out of
-  // the list would let a recall be accepted while it still answers.
+it("registration prunes ended instances and keeps silent ones", async () => {
+  // One process has ended and one is cut off. If the one that is cut off were
+  // removed from the list, a recall would be accepted while it still answers.
   const rack = createRack();
   rack.start("pruner", { isPruner: true });
   const ended = rack.start("ended", { isPruner: false });
--- a/packages/release/src/status_collector.ts
+++ b/packages/release/src/status_collector.ts
@@ -1,4 +1,4 @@
-/** Finds out, by name, who applies a note and who may still not. */
+/** Collects which instances apply a note and which may still not. */
 import type { Membership, PeerCaller } from "@rosemarypin/membership";
 import type {
   InstanceReference,
@@ -6,52 +6,55 @@
   NoteStatus,
   RegistryEntry,
 } from "@rosemarypin/schemas";
-import { askToConfirm, type Confirmer } from "./confirmations.ts";
+import { type Confirmer, requestConfirmation } from "./confirmations.ts";
 import { createEvidence } from "./evidence.ts";
-import { digestOf, nameOf } from "./known_instances.ts";
+import { digestInstances, processNameOf } from "./known_instances.ts";
 import { type Moment, readMoment } from "./moment.ts";
 import type { NoteKeeper } from "./note_keeper.ts";
 import {
+  computePhase,
   describeEngines,
   type EngineName,
   type InstanceLine,
-  phaseOf,
 } from "./note_status.ts";
 
-/** Notes whose confirmations are remembered. */
-const REMEMBERED_NOTES = 4;
+/** Number of notes whose confirmations are kept. */
+const MAX_REMEMBERED_NOTES = 4;
+
 export interface StatusCollectorOptions {
   readonly membership: Membership;
   readonly peers: PeerCaller;
   readonly keeper: NoteKeeper;
   readonly confirmer: Confirmer;
-  /** Every engine that can answer. */
+  /** All engines that can answer requests. */
   readonly engines: () => readonly EngineName[];
   /** The store's list of instances; `null` if it cannot be read. */
   readonly readRegistry: () => Promise<readonly RegistryEntry[] | null>;
-  /** Longest allowance of an instance with these settings. */
+  /** The contact allowance that this instance is configured with. */
   readonly allowanceMs: number;
+  /** Whether a refused connection proves that a process has ended. */
   readonly refusedConnectionShowsEnd: boolean;
 }
 
 export interface StatusCollector {
+  /** Collects the status of a note from all instances that are known. */
   status(number: number): Promise<NoteStatus>;
 }
 
-/** What was found out about one note. */
-interface Findings {
-  /** When this instance first knew that the note is recorded. */
+/** What has been collected about one note. */
+interface NoteProgress {
+  /** When this instance learned of the note; it was recorded before that. */
   readonly recordedBefore: Moment;
-  /** Read after the note was recorded; `null` until that worked. */
+  /** The list read after the note was recorded; `null` until that succeeds. */
   registry: readonly RegistryEntry[] | null;
   /** Confirmations of the note, by the name of the process. */
   readonly confirmed: Map<string, NoteConfirmation>;
   /**
-   * Every process that was named since: a name that membership forgets, or
-   * that comes up between two questions, must not be left out.
+   * All processes named since the note was learned, by name. They must still
+   * confirm if the membership drops them between two calls of `status`.
    */
   readonly named: Map<string, InstanceReference>;
-  /** Whether somebody ordered each engine when it was last asked for. */
+  /** Whether every engine had an instance ordering it at the last call. */
   enginesHeard: boolean;
 }
 
@@ -60,119 +63,129 @@
   options: StatusCollectorOptions,
 ): StatusCollector {
   const { keeper, confirmer, membership } = options;
-  const findings = new Map<number, Findings>();
+  const progressByNote = new Map<number, NoteProgress>();
   const evidence = createEvidence(options);
   const note = keeper.applied();
-  if (note) findingsOf(note.number);
-  // The clock of the slow path starts when this instance learns of the note:
-  // it was recorded before that.
-  keeper.onChange((record) => findingsOf(record.number));
+  if (note) progressOf(note.number);
+  // `recordedBefore` is set as soon as this instance learns of a note. Silent
+  // instances are reported as stopped after an allowance counted from there.
+  keeper.onChange((record) => progressOf(record.number));
 
-  function findingsOf(number: number): Findings {
-    const known = findings.get(number);
-    if (known) return known;
-    const fresh: Findings = {
+  function progressOf(number: number): NoteProgress {
+    const existing = progressByNote.get(number);
+    if (existing) return existing;
+    const created: NoteProgress = {
       recordedBefore: readMoment(),
       registry: null,
       confirmed: new Map(),
       named: new Map(),
       enginesHeard: false,
     };
-    findings.set(number, fresh);
-    const oldest = Math.min(...findings.keys());
-    if (findings.size > REMEMBERED_NOTES) findings.delete(oldest);
-    return fresh;
+    progressByNote.set(number, created);
+    const oldest = Math.min(...progressByNote.keys());
+    if (progressByNote.size > MAX_REMEMBERED_NOTES)
+      progressByNote.delete(oldest);
+    return created;
   }
 
   async function status(number: number): Promise<NoteStatus> {
-    if (!isKnown(number)) await keeper.refresh();
-    // Nothing that is found out before a note is recorded counts for it.
-    if (!isKnown(number)) return notKnown(number);
-    const found = findingsOf(number);
-    found.registry ??= await options.readRegistry();
-    const own = confirmer.confirm();
-    const lines = [describe(own, number)];
-    const confirmations = [own];
-    const self = nameOf(membership.self());
-    const asked = new Set([self]);
-    // The digest stands for exactly the names that are asked below.
-    const known = confirmer.known();
-    const knownDigest = digestOf(known);
-    let pending = firstNames(found, known);
-    // Each answer may name instances that nobody named before: the closure
-    // of all names is what has to confirm.
+    if (!hasLearned(number)) await keeper.refresh();
+    // Evidence collected before the note is recorded would not count for it.
+    if (!hasLearned(number)) return describeUnlearnedNote(number);
+    const progress = progressOf(number);
+    progress.registry ??= await options.readRegistry();
+    const ownConfirmation = confirmer.confirm();
+    const lines = [toInstanceLine(ownConfirmation, number)];
+    const confirmations = [ownConfirmation];
+    const self = processNameOf(membership.self());
+    const queried = new Set([self]);
+    // A peer with the same digest omits its list, so every instance behind the
+    // digest must be queried below.
+    const knownInstances = confirmer.known();
+    const knownDigest = digestInstances(knownInstances);
+    let pending = listInitialProcesses(progress, knownInstances);
+    // An answer may name further instances. All that are reachable through
+    // such lists have to confirm.
     while (pending.length > 0) {
       for (const instance of pending) {
-        asked.add(nameOf(instance));
-        found.named.set(nameOf(instance), instance);
+        queried.add(processNameOf(instance));
+        progress.named.set(processNameOf(instance), instance);
       }
       const answers = await Promise.all(
         pending.map((instance) =>
-          ask(instance, { number, found, knownDigest }),
+          collectFrom(instance, { number, found: progress, knownDigest }),
         ),
       );
       lines.push(...answers.map(({ line }) => line));
-      const heard = answers.flatMap(({ confirmation }) => confirmation ?? []);
-      confirmations.push(...heard);
-      pending = unique(heard.flatMap(({ knows }) => knows ?? [])).filter(
-        (instance) => !asked.has(nameOf(instance)),
+      const received = answers.flatMap(
+        ({ confirmation }) => confirmation ?? [],
+      );
+      confirmations.push(...received);
+      pending = unique(received.flatMap(({ knows }) => knows ?? [])).filter(
+        (instance) => !queried.has(processNameOf(instance)),
       );
     }
-    if (found.registry === null) lines.push(unreadRegistry());
+    if (progress.registry === null) lines.push(unreadRegistryLine());
     const engines = describeEngines(number, {
       confirmations,
       engines: options.engines(),
     });
-    found.enginesHeard = engines.every(({ state }) => state !== "unheard");
-    const phase = phaseOf(lines, engines);
+    progress.enginesHeard = engines.every(({ state }) => state !== "unheard");
+    const phase = computePhase(lines, engines);
     return { number, phase, instances: lines, engines: [...engines] };
   }
 
-  function isKnown(number: number): boolean {
+  function hasLearned(number: number): boolean {
     return (keeper.applied()?.number ?? 0) >= number;
   }
 
-  function notKnown(number: number): NoteStatus {
-    const own = describe(confirmer.confirm(), number);
+  function describeUnlearnedNote(number: number): NoteStatus {
+    const ownLine = toInstanceLine(confirmer.confirm(), number);
     const engines = options.engines();
     return {
       number,
       phase: "recorded",
-      instances: [own],
+      instances: [ownLine],
       engines: [...describeEngines(number, { confirmations: [], engines })],
     };
   }
 
-  function firstNames(
-    found: Findings,
-    known: readonly InstanceReference[],
+  function listInitialProcesses(
+    progress: NoteProgress,
+    knownInstances: readonly InstanceReference[],
   ): readonly InstanceReference[] {
-    const self = nameOf(membership.self());
+    const self = processNameOf(membership.self());
     const members = membership.peers().map(({ record }) => record);
-    const registry = found.registry ?? [];
-    const names = [...found.named.values(), ...members, ...known, ...registry];
-    return unique(names).filter((instance) => nameOf(instance) !== self);
+    const registry = progress.registry ?? [];
+    const names = [
+      ...progress.named.values(),
+      ...members,
+      ...knownInstances,
+      ...registry,
+    ];
+    return unique(names).filter((instance) => processNameOf(instance) !== self);
   }
 
-  async function ask(
+  async function collectFrom(
     instance: InstanceReference,
     context: {
       readonly number: number;
-      readonly found: Findings;
+      readonly found: NoteProgress;
       readonly knownDigest: string;
     },
   ): Promise<{ line: InstanceLine; confirmation?: NoteConfirmation }> {
     const { number, found, knownDigest } = context;
-    const name = nameOf(instance);
+    const name = processNameOf(instance);
     const earlier = found.confirmed.get(name);
-    // A confirmation holds for good. Who orders engines changes, so those who
-    // do are asked again, and all are while some engine has nobody.
+    // A confirmation stays valid, but the instances that order engines change.
+    // Those with engines are queried each time, and so are all others while
+    // any engine has no instance ordering it.
     if (earlier?.engines.length === 0 && found.enginesHeard) {
-      return { line: describe(earlier, number), confirmation: earlier };
+      return { line: toInstanceLine(earlier, number), confirmation: earlier };
     }
     const goodbye = evidence.goodbye(instance);
     if (goodbye) return { line: goodbye };
-    const answer = await askToConfirm(instance, {
+    const answer = await requestConfirmation(instance, {
       peers: options.peers,
       request: { knownDigest },
     });
@@ -181,32 +194,35 @@
       if (confirmation.applied >= number) {
         found.confirmed.set(name, confirmation);
       }
-      return { line: describe(confirmation, number), confirmation };
+      return { line: toInstanceLine(confirmation, number), confirmation };
     }
-    if (earlier) return { line: describe(earlier, number) };
+    if (earlier) return { line: toInstanceLine(earlier, number) };
     return { line: evidence.judge(instance, { answer, ...found }) };
   }
 
   return { status };
 }
 
-function describe(
+function toInstanceLine(
   confirmation: NoteConfirmation,
   number: number,
 ): InstanceLine {
   const { instance, failureDomain, applied } = confirmation;
-  const done = applied >= number;
+  const isConfirmed = applied >= number;
   return {
     id: instance,
     failureDomain,
-    state: done ? "confirmed" : "behind",
+    state: isConfirmed ? "confirmed" : "behind",
     applied,
-    detail: done ? "" : `applies note ${applied}`,
+    detail: isConfirmed ? "" : `applies note ${applied}`,
   };
 }
 
-/** Without the store's list, an instance unknown to all might answer. */
-function unreadRegistry(): InstanceLine {
+/**
+ * Stands for instances that no reachable one can name: without the store's
+ * list they cannot be excluded.
+ */
+function unreadRegistryLine(): InstanceLine {
   return {
     id: "unlisted",
     failureDomain: "unknown",
@@ -219,7 +235,8 @@
 function unique(
   instances: readonly InstanceReference[],
 ): readonly InstanceReference[] {
-  const named = new Map<string, InstanceReference>();
-  for (const instance of instances) named.set(nameOf(instance), instance);
-  return [...named.values()];
+  const byProcessName = new Map<string, InstanceReference>();
+  for (const instance of instances)
+    byProcessName.set(processNameOf(instance), instance);
+  return [...byProcessName.values()];
 }
--- a/packages/release/src/withdrawn_names.ts
+++ b/packages/release/src/withdrawn_names.ts
@@ -1,6 +1,6 @@
 /**
- * Names that were withdrawn and are never given out again. The head object
- * holds the newest withdrawals; each older one has an object of its own.
+ * Keeps withdrawn names, which must never be reused. The head object holds the
+ * newest withdrawals, and each older one has its own object in the store.
  */
 
 import {
@@ -11,41 +11,45 @@
   type WithdrawnLine,
 } from "@rosemarypin/schemas";
 import type { ObjectStore, StoreResult } from "@rosemarypin/store";
-import type { NoteProblem } from "./fold.ts";
+import type { NoteProblem } from "./merge_note.ts";
 
-/** More than a day of withdrawals when half of 410 notes withdraw something. */
-const KEPT_COUNT = 256;
-/** A reason may have 6 KB, so a count alone would not bound the head. */
-const KEPT_BYTES = 262_144;
-/** A publish moves no more than this, to stay within the calls a second. */
-const MOVED_AT_ONCE = 16;
-/** How often a call that is over the budget is sent again. */
+/** More than one day's withdrawals if half of 410 notes a day have one. */
+const MAX_HEAD_WITHDRAWALS = 256;
+/** Limits the size of the head, because one reason may take 6 KB. */
+const MAX_HEAD_WITHDRAWAL_BYTES = 262_144;
+/** Limits the writes of one publish to the store's call budget per second. */
+const MAX_MOVED_PER_PUBLISH = 16;
+/** Retries of a call that exceeds the store's call budget. */
 const BUDGET_RETRIES = 20;
 
-/** Withdrawals of a catalogue by where they are to be kept. */
+/** The withdrawals of a catalogue, split by where they are stored. */
 export interface SplitWithdrawals {
-  /** What the next head holds. */
+  /** Withdrawals that the next head holds. */
   readonly kept: Withdrawal[];
-  /** What has to be kept elsewhere before the next head is written. */
+  /** Withdrawals to store in own objects before the next head is written. */
   readonly moved: readonly Withdrawal[];
 }
 
 /**
- * Finds the oldest withdrawals that a head has no room for. Those of the note
- * that is being published stay: they are not recorded yet, and if the note
- * loses its race, an object for one of them would be false for ever.
+ * Splits off the oldest withdrawals that exceed the limits of the head. Those of
+ * the note being published, numbered `before`, stay in the head. They are not
+ * recorded yet, and if the note lost the race, their objects would block names
+ * that were never withdrawn.
  */
 export function splitWithdrawals(
   withdrawals: readonly Withdrawal[],
   options: { readonly before: number },
 ): SplitWithdrawals {
-  const sizes = withdrawals.map((one) => JSON.stringify(one)).map(byteLength);
+  const sizes = withdrawals
+    .map((withdrawal) => JSON.stringify(withdrawal))
+    .map(byteLength);
   let bytes = sizes.reduce((sum, size) => sum + size, 0);
   let count = 0;
-  while (count < MOVED_AT_ONCE) {
+  while (count < MAX_MOVED_PER_PUBLISH) {
     const oldest = withdrawals[count];
     const hasRoom =
-      withdrawals.length - count <= KEPT_COUNT && bytes <= KEPT_BYTES;
+      withdrawals.length - count <= MAX_HEAD_WITHDRAWALS &&
+      bytes <= MAX_HEAD_WITHDRAWAL_BYTES;
     if (hasRoom || !oldest || oldest.number >= options.before) break;
     bytes -= sizes[count] ?? 0;
     count += 1;
@@ -54,17 +58,18 @@
 }
 
 export interface WithdrawnNames {
-  /** Keeps recorded withdrawals for good; resolves to whether all are kept. */
+  /** Stores recorded withdrawals; resolves to whether all are stored. */
   keep(withdrawals: readonly Withdrawal[]): Promise<boolean>;
-  /** Lines of the note that give out such a name; `null` if not known. */
+  /** Finds lines that reuse a withdrawn name; `null` if the store fails. */
   findReused(note: ReleaseNote): Promise<readonly NoteProblem[] | null>;
 }
 
 /**
- * Creates access to the names of a deployment. An object is created only for
- * a withdrawal that was read from a recorded head, and is never changed. So a
- * publisher that loses its race, or dies before its head is written, leaves
- * only what is true already, and two that keep the same name agree.
+ * Creates access to the withdrawn names of a deployment. An object is created
+ * only for a withdrawal that was read from a recorded head, and it is never
+ * changed. A publisher that loses the race, or crashes before it writes its
+ * head, therefore leaves only valid objects, and two publishers that store the
+ * same name write the same value.
  */
 export function createWithdrawnNames(options: {
   readonly deployment: string;
@@ -72,19 +77,21 @@
 }): WithdrawnNames {
   const { deployment, store } = options;
 
-  async function keepOne(withdrawal: Withdrawal): Promise<boolean> {
+  async function storeWithdrawal(withdrawal: Withdrawal): Promise<boolean> {
     const key = storedKeys.withdrawn(deployment, nameOf(withdrawal.line));
     const written = await withinBudget(() =>
       store.write(key, withdrawal, { expectedVersion: null }),
     );
     if (written.kind === "ok" || written.kind === "conflict") return true;
     if (written.kind !== "reply_lost") return false;
-    // Whether the write took effect is hidden; the object itself tells.
+    // After a lost reply, a read shows whether the write took effect.
     const read = await withinBudget(() => store.read(key));
     return read.kind === "ok" && read.value !== null;
   }
 
-  async function findOne(use: NameUse): Promise<NoteProblem | null | "unread"> {
+  async function findWithdrawnName(
+    use: NameUse,
+  ): Promise<NoteProblem | null | "unread"> {
     const key = storedKeys.withdrawn(deployment, use.name);
     const read = await withinBudget(() => store.read(key));
     if (read.kind !== "ok") return "unread";
@@ -95,16 +102,16 @@
 
   return {
     async keep(withdrawals) {
-      const kept = await Promise.all(withdrawals.map(keepOne));
+      const kept = await Promise.all(withdrawals.map(storeWithdrawal));
       return kept.every(Boolean);
     },
     async findReused(note) {
       const uses = note.added.flatMap((line, index) =>
-        namesIn(line).map((name) => ({ name, line: `added[${index}]` })),
+        namesAddedBy(line).map((name) => ({ name, line: `added[${index}]` })),
       );
       const problems: NoteProblem[] = [];
       for (const use of uses) {
-        const found = await findOne(use);
+        const found = await findWithdrawnName(use);
         if (found === "unread") return null;
         if (found) problems.push(found);
       }
@@ -113,14 +120,14 @@
   };
 }
 
-/** A name that a line of a note gives out. */
+/** A name that a line of a note adds. */
 interface NameUse {
   readonly name: string;
   readonly line: string;
 }
 
-/** The names that a line gives out, as `nameOf` writes withdrawn ones. */
-function namesIn(line: AddedLine): string[] {
+/** Lists the names that a line adds, in the form that `nameOf` returns. */
+function namesAddedBy(line: AddedLine): string[] {
   if (line.kind !== "version") return [nameOf(line)];
   const { kind, model, version } = line;
   return [
@@ -144,7 +151,10 @@
   }
 }
 
-/** A note with many lines may use up the calls of a second; it waits then. */
+/**
+ * Retries a call that exceeds the store's call budget, which a note with many
+ * lines can use up.
+ */
 async function withinBudget<T>(
   call: () => Promise<StoreResult<T>>,
 ): Promise<StoreResult<T>> {
--- a/packages/release/src/withdrawn_names_test.ts
+++ b/packages/release/src/withdrawn_names_test.ts
@@ -7,14 +7,14 @@
 
 const HEAD = storedKeys.head("test");
 const NAMES = storedKeys.withdrawn("test", "");
-/** Withdrawals that a head keeps. */
+/** Maximum number of withdrawals in a head. */
 const KEPT = 256;
 
 function adapter(index: number) {
   return { kind: "adapter" as const, model: "assist", adapter: `a${index}` };
 }
 
-/** A head whose notes withdrew adapters 0 to `count - 1`, one each. */
+/** Creates a head whose notes withdrew adapters 0 to `count - 1`. */
 function headWith(count: number, reason = "a faulty batch") {
   const withdrawn = Array.from({ length: count }, (_, index) => ({
     line: adapter(index),
@@ -76,10 +76,10 @@
   return { memory, store, publisherOn, withdrawnInHead, movedNames };
 }
 
-it("refuses a name withdrawn so long ago that the head lost it", async () => {
-  // A batch was recalled; hundreds of recalls later the head has no room for
-  // it. An operator gives its name out again, and an instance that was cut
-  // off since would take the new batch for the old one.
+it("publisher refuses a withdrawn name that the head no longer holds", async () => {
+  // After hundreds of recalls, the head has no room for the oldest withdrawal.
+  // If an operator could reuse its name, an instance that was cut off meanwhile
+  // would take the new batch for the old one.
   const { store, publisherOn, withdrawnInHead } = await createStore(
     headWith(KEPT),
   );
@@ -96,10 +96,10 @@
   expect(fresh.kind).toBe("recorded");
 });
 
-it("leaves nothing false behind when a publisher loses its race", async () => {
-  // Two operators withdraw two adapters at once; both instances move the
-  // oldest withdrawal out of the head, and one loses. The adapter that the
-  // loser wanted to withdraw must not count as withdrawn.
+it("publisher that loses the race stores no withdrawal of its note", async () => {
+  // Two operators withdraw two adapters at once. Both publishers move the
+  // oldest withdrawal out of the head, and one loses the race. The adapter of
+  // its note must not count as withdrawn.
   const { store, publisherOn, movedNames } = await createStore(headWith(KEPT));
   const results = await Promise.all([
     publisherOn(store, "one").publish(withdraw(KEPT, "live")),
@@ -112,9 +112,9 @@
   expect(movedNames()).toEqual(["adapter/assist/a0"]);
 });
 
-it("goes on after a lost reply to the write of a name", async () => {
-  // The name's object is written and the answer is lost. Taken for a failure,
-  // a recall would be refused though the store works.
+it("publisher continues after a lost reply to the write of a name", async () => {
+  // The object of a name is written, but the reply is lost. Treated as a
+  // failure, this would refuse a recall although the store works.
   const { memory, publisherOn, movedNames } = await createStore(headWith(KEPT));
   const { store } = memory.client();
   const losing: ObjectStore = {
@@ -133,12 +133,12 @@
 
 it.each([
   ["names cannot be written", (key: string) => key.startsWith(NAMES)],
-  ["nothing but the head can be written", (key: string) => key !== HEAD],
+  ["only the head can be written", (key: string) => key !== HEAD],
   ["the head cannot be written", (key: string) => key === HEAD],
-])("forgets no withdrawal when %s", async (_name, fails) => {
-  // The store goes away in the middle of a publish, before or after the old
-  // withdrawals were moved, and the operator publishes again later. At each
-  // moment a name must be in the head or have its own object.
+])("publisher loses no withdrawal when %s", async (_name, fails) => {
+  // The store fails during a publish, before or after old withdrawals are
+  // moved, and the operator retries later. At any time a withdrawn name must be
+  // in the head or have its own object.
   const { store, publisherOn, withdrawnInHead, movedNames } = await createStore(
     headWith(KEPT),
   );
@@ -160,9 +160,9 @@
   expect(movedNames()).toEqual(["adapter/assist/a0"]);
 });
 
-it("records nothing while old names cannot be read", async () => {
-  // The store answers for the head and not for the names. Going on would
-  // give a withdrawn name out whenever the store is slow.
+it("publisher records nothing while withdrawn names cannot be read", async () => {
+  // The head can be read, but the objects of withdrawn names cannot. Recording
+  // the note regardless would allow reuse of a withdrawn name.
   const { store, publisherOn, withdrawnInHead } = await createStore(
     headWith(1),
   );
@@ -176,7 +176,7 @@
   expect(withdrawnInHead()).toBe(1);
 });
 
-it("shrinks a head that an earlier release let grow", async () => {
+it("publisher shrinks a head that exceeds the limit", async () => {
   const { store, publisherOn, withdrawnInHead } = await createStore(
     headWith(KEPT + 40),
   );
@@ -191,9 +191,9 @@
   expect(withdrawnInHead()).toBe(KEPT);
 });
 
-it("bounds the head by bytes when reasons are long", async () => {
-  // 256 reasons of 2,000 characters of three bytes are 1.5 MB: the count
-  // alone would let the head pass the megabyte that the store takes.
+it("publisher limits the bytes of withdrawals with long reasons", async () => {
+  // 256 reasons of 2,000 characters of three bytes each are 1.5 MB. A limit on
+  // the count alone would let the head exceed the store's limit of 1 MB.
   const { store, publisherOn, withdrawnInHead } = await createStore(
     headWith(60, "€".repeat(2_000)),
   );
@@ -202,9 +202,9 @@
   expect(withdrawnInHead()).toBeLessThan(60);
 });
 
-it("refuses a record beyond the limit before anything is sent", async () => {
+it("publisher refuses a record that is too large before it writes", async () => {
   // A note adds more than one object can hold. The store would refuse the
-  // write with an error that says nothing to an operator.
+  // write with an error that does not tell an operator the cause.
   const { memory, store, publisherOn } = await createStore(headWith(1));
   const publisher = publisherOn(store, "one");
   const before = memory.objects().length;
@@ -230,9 +230,9 @@
   expect(memory.objects()).toHaveLength(before);
 });
 
-it("gives a new name to one of two publishers", async () => {
-  // Two operators add an adapter of one name at once. The loser publishes
-  // again on top of the winner's note and must hear that the name is taken.
+it("publishers that race to add a name record it once", async () => {
+  // Two operators add an adapter with the same name at once. The one that
+  // loses retries on top of the other's note and must get a refusal.
   const { store, publisherOn } = await createStore(headWith(KEPT));
   const publishers = ["one", "two"].map((name) => publisherOn(store, name));
   const results = await Promise.all(
@@ -247,9 +247,10 @@
   expect(JSON.stringify(again)).toContain("is there already");
 });
 
-it("moves no withdrawal before it is recorded", async () => {
-  // One note withdraws more than a head keeps, and its head is not written.
-  // An object for one of its names would refuse a name that still answers.
+it("publisher stores no withdrawal before its note is recorded", async () => {
+  // One note withdraws more names than a head holds, and its head is not
+  // written. An object for one of its names would block a name that is still
+  // in use.
   const { store, publisherOn, movedNames } = await createStore(null);
   const failing: ObjectStore = {
     ...store,
