--- a/packages/release/src/confirmations.ts
+++ b/packages/release/src/confirmations.ts
@@ -29,7 +29,7 @@
    */
   confirm(params?: unknown): NoteConfirmation;
   /** Instances that may still serve, as far as this instance knows. */
-  known(): readonly InstanceReference[];
+  knownInstances(): readonly InstanceReference[];
 }
 
 /**
@@ -40,25 +40,25 @@
 export function createConfirmer(options: ConfirmerOptions): Confirmer {
   const { membership, keeper } = options;
 
-  function known(): readonly InstanceReference[] {
-    return listKnownInstances(membership, { askers: keeper.askers() });
+  function knownInstances(): readonly InstanceReference[] {
+    return listKnownInstances(membership, { requesters: keeper.requesters() });
   }
 
   return {
-    known,
+    knownInstances,
     confirm(params) {
       const { id, failureDomain, incarnation } = membership.self();
-      const knownInstances = known();
+      const instances = knownInstances();
       const request = confirmRequestSchema.safeParse(params);
       const hasSameDigest =
         request.success &&
-        request.data.knownDigest === digestInstances(knownInstances);
+        request.data.knownDigest === digestInstances(instances);
       return {
         instance: id,
         failureDomain,
         incarnation,
         applied: keeper.applied()?.number ?? 0,
-        ...(hasSameDigest ? {} : { knows: [...knownInstances] }),
+        ...(hasSameDigest ? {} : { knows: [...instances] }),
         engines: [...options.engines()],
       };
     },
@@ -73,7 +73,7 @@
   /** The connection was refused. */
   | { readonly kind: "refused" }
   /** No answer, or an unreadable one; the process may still be running. */
-  | { readonly kind: "unheard"; readonly detail: string };
+  | { readonly kind: "no_answer"; readonly detail: string };
 
 /** Requests the confirmation of one instance. */
 export async function requestConfirmation(
@@ -91,9 +91,10 @@
   instance: InstanceReference,
 ): ConfirmAnswer {
   if (result.kind === "refused") return { kind: "refused" };
-  if (result.kind !== "ok") return { kind: "unheard", detail: result.kind };
+  if (result.kind !== "ok") return { kind: "no_answer", detail: result.kind };
   const parsed = noteConfirmationSchema.safeParse(result.value);
-  if (!parsed.success) return { kind: "unheard", detail: "unreadable answer" };
+  if (!parsed.success)
+    return { kind: "no_answer", detail: "unreadable answer" };
   const confirmation = parsed.data;
   const isSame =
     confirmation.instance === instance.id &&
--- a/packages/release/src/contact.ts
+++ b/packages/release/src/contact.ts
@@ -23,13 +23,13 @@
 
 export interface Contact {
   /** Records a read of the head object that started at `startedAt`. */
-  heardFromStore(startedAt: Moment): void;
+  recordStoreRead(startedAt: Moment): void;
   /** Records a peer's contact of age `ageMs`, requested at `requestedAt`. */
-  heardFromPeer(requestedAt: Moment, ageMs: number): void;
+  recordPeerContact(requestedAt: Moment, ageMs: number): void;
   /** Age of the last contact; `null` before the first one. */
   ageMs(): number | null;
   /** Whether the note in use may still be served from. */
-  holds(): boolean;
+  isValid(): boolean;
 }
 
 /** Creates a tracker that has recorded no contact yet. */
@@ -59,16 +59,16 @@
     // A read counts only if the store listed this instance before the read
     // started. A publisher that records a later note and then reads the list
     // therefore finds this instance in it.
-    heardFromStore(startedAt) {
+    recordStoreRead(startedAt) {
       const since = options.listedSince();
       if (since && isInOrder(since, startedAt)) renew(startedAt);
     },
-    heardFromPeer(requestedAt, ageMs) {
+    recordPeerContact(requestedAt, ageMs) {
       lastPeerRequestAt = requestedAt;
       renew(momentBefore(requestedAt, ageMs * (1 + MAX_CLOCK_DRIFT)));
     },
     ageMs: () => (contactAt ? elapsedMs(contactAt) : null),
-    holds() {
+    isValid() {
       if (!contactAt || !isListedOrHasRecentPeer()) return false;
       return elapsedMs(contactAt) < allowanceMs;
     },
--- a/packages/release/src/evidence.ts
+++ b/packages/release/src/evidence.ts
@@ -30,16 +30,16 @@
 export interface UnconfirmedInstance {
   readonly answer: ConfirmAnswer;
   /** When this instance learned of the note; it was recorded before that. */
-  readonly recordedBefore: Moment;
+  readonly learnedAt: Moment;
   /** The store's list of instances; `null` if it has not been read. */
   readonly registry: readonly RegistryEntry[] | null;
 }
 
 export interface Evidence {
   /** Describes an instance that left the membership; `null` if it has not. */
-  goodbye(instance: InstanceReference): InstanceLine | null;
+  describeLeft(instance: InstanceReference): InstanceLine | null;
   /** Describes an instance that did not confirm the note. */
-  judge(
+  describeUnconfirmed(
     instance: InstanceReference,
     unconfirmed: UnconfirmedInstance,
   ): InstanceLine;
@@ -71,7 +71,7 @@
     endedAt.set(name, firstSeenAt);
     return describeEnded(instance, {
       detail,
-      agoMs: surelyElapsedMs(firstSeenAt),
+      endedForMs: surelyElapsedMs(firstSeenAt),
     });
   }
 
@@ -81,13 +81,13 @@
    */
   function describeEnded(
     instance: InstanceReference,
-    end: { readonly detail: string; readonly agoMs: number },
+    end: { readonly detail: string; readonly endedForMs: number },
   ): InstanceLine {
     const line = baseLineOf(instance);
-    if (end.agoMs >= UNLISTED_EXPIRY_MS) {
+    if (end.endedForMs >= UNLISTED_EXPIRY_MS) {
       return { ...line, state: "stopped", detail: end.detail };
     }
-    const detail = `${end.detail}; what lived on its word alone ends within 3 s`;
+    const detail = `${end.detail}; instances that only it could name stop within 3 s`;
     return { ...line, state: "unheard", detail };
   }
 
@@ -97,16 +97,19 @@
    */
   function describeSilent(
     instance: InstanceReference,
-    context: { readonly detail: string; readonly note: UnconfirmedInstance },
+    context: {
+      readonly detail: string;
+      readonly unconfirmed: UnconfirmedInstance;
+    },
   ): InstanceLine {
-    const { recordedBefore, registry } = context.note;
+    const { learnedAt, registry } = context.unconfirmed;
     const allowances = (registry ?? []).map((entry) => entry.allowanceMs);
     const longestMs = Math.max(options.allowanceMs, ...allowances);
     const waitMs = longestMs * (1 + MAX_CLOCK_DRIFT);
-    const leftMs = waitMs - surelyElapsedMs(recordedBefore);
+    const leftMs = waitMs - surelyElapsedMs(learnedAt);
     const line = baseLineOf(instance);
     if (leftMs <= 0) {
-      const detail = "silent for longer than it may serve without contact";
+      const detail = "no answer for longer than its contact allowance";
       return { ...line, state: "stopped", detail };
     }
     const seconds = Math.ceil(leftMs / 1_000);
@@ -115,25 +118,28 @@
   }
 
   return {
-    goodbye(instance) {
+    describeLeft(instance) {
       const member = findMember(instance);
       if (!member?.record.left) return null;
       if (member.record.incarnation !== instance.incarnation) return null;
-      const agoMs = performance.now() - member.heardAt;
-      return describeEnded(instance, { detail: "said goodbye", agoMs });
+      const endedForMs = performance.now() - member.heardAt;
+      return describeEnded(instance, {
+        detail: "left the membership",
+        endedForMs,
+      });
     },
-    judge(instance, unconfirmed) {
+    describeUnconfirmed(instance, unconfirmed) {
       const { answer } = unconfirmed;
       if (options.refusedConnectionShowsEnd) {
         if (answer.kind === "replaced") {
-          return recordEnd(instance, "its address has another process");
+          return recordEnd(instance, "another process answers at its address");
         }
         if (answer.kind === "refused") {
           return recordEnd(instance, "nothing listens at its address");
         }
       }
-      const detail = answer.kind === "unheard" ? answer.detail : answer.kind;
-      return describeSilent(instance, { detail, note: unconfirmed });
+      const detail = answer.kind === "no_answer" ? answer.detail : answer.kind;
+      return describeSilent(instance, { detail, unconfirmed });
     },
   };
 }
--- a/packages/release/src/head_follower.ts
+++ b/packages/release/src/head_follower.ts
@@ -17,7 +17,7 @@
   /** The note in the head object; `null` before the first note. */
   readonly record: NoteRecord | null;
   /** When the read was started. */
-  readonly began: Moment;
+  readonly startedAt: Moment;
 }
 
 export interface HeadFollowerOptions {
@@ -30,36 +30,36 @@
 export async function readHead(
   options: HeadFollowerOptions,
 ): Promise<HeadRead | null> {
-  const began = readMoment();
+  const startedAt = readMoment();
   const result = await options.store.read(options.headKey, {
     signal: options.signal,
   });
   if (result.kind !== "ok") return null;
-  if (result.value === null) return { record: null, began };
+  if (result.value === null) return { record: null, startedAt };
   const record = parseHead(result.value.value);
-  return record && { record, began };
+  return record && { record, startedAt };
 }
 
 /** Watches the head object until the signal is aborted. */
 export async function followHead(
-  options: HeadFollowerOptions & { readonly take: (news: HeadRead) => void },
+  options: HeadFollowerOptions & { readonly onRead: (read: HeadRead) => void },
 ): Promise<void> {
   const { store, headKey, signal } = options;
   let since: Revision = 0;
   let failures = 0;
   while (!signal.aborted) {
-    const began = readMoment();
+    const startedAt = readMoment();
     const result = await store.watch(headKey, { since, signal });
     if (signal.aborted) return;
     if (result.kind === "ok") {
       const { objects, revision } = result.value;
       for (const { value } of objects) {
         const record = parseHead(value);
-        if (record) options.take({ record, began });
+        if (record) options.onRead({ record, startedAt });
       }
       // A watch that returns at once without changes counts as a failure.
       // Otherwise the loop would spin and use up the store's call budget.
-      const isHealthy = revision > since || elapsedMs(began) > MIN_WATCH_MS;
+      const isHealthy = revision > since || elapsedMs(startedAt) > MIN_WATCH_MS;
       since = revision;
       failures = isHealthy ? 0 : failures + 1;
       if (isHealthy) continue;
--- a/packages/release/src/known_instances.ts
+++ b/packages/release/src/known_instances.ts
@@ -15,7 +15,7 @@
  */
 export function listKnownInstances(
   membership: Membership,
-  options: { readonly askers: readonly InstanceReference[] },
+  options: { readonly requesters: readonly InstanceReference[] },
 ): readonly InstanceReference[] {
   const members = [
     membership.self(),
@@ -25,7 +25,7 @@
     members.filter((record) => record.left).map(processNameOf),
   );
   const instancesByName = new Map<string, InstanceReference>();
-  for (const member of [...options.askers, ...members]) {
+  for (const member of [...options.requesters, ...members]) {
     const name = processNameOf(member);
     if (!left.has(name)) instancesByName.set(name, toReference(member));
   }
--- a/packages/release/src/merge_note.ts
+++ b/packages/release/src/merge_note.ts
@@ -41,12 +41,12 @@
   note.added.forEach((line, index) => {
     addLine(catalogue, line, {
       number,
-      complain: reportAt(`added[${index}]`),
+      reportProblem: reportAt(`added[${index}]`),
     });
   });
   note.withdrawn.forEach((line, index) => {
-    const complain = reportAt(`withdrawn[${index}]`);
-    const lines = withdrawLine(catalogue, line, { complain });
+    const reportProblem = reportAt(`withdrawn[${index}]`);
+    const lines = withdrawLine(catalogue, line, { reportProblem });
     for (const withdrawnLine of lines) {
       catalogue.withdrawn.push({
         line: withdrawnLine,
@@ -66,14 +66,14 @@
 function addLine(
   catalogue: Catalogue,
   line: AddedLine,
-  options: { readonly number: number; readonly complain: ReportProblem },
+  options: { readonly number: number; readonly reportProblem: ReportProblem },
 ): void {
-  const { number, complain } = options;
+  const { number, reportProblem } = options;
   if (line.kind === "service") {
-    addTo(catalogue.services, line.service, complain);
+    addTo(catalogue.services, line.service, reportProblem);
     forbidWithdrawn(
       catalogue,
-      complain,
+      reportProblem,
       (withdrawn) =>
         withdrawn.kind === "service" && withdrawn.service === line.service,
     );
@@ -82,10 +82,10 @@
   const model = catalogue.models[line.model] ?? emptyModel();
   catalogue.models[line.model] = model;
   if (line.kind === "adapter") {
-    addTo(model.adapters, line.adapter, complain);
+    addTo(model.adapters, line.adapter, reportProblem);
     forbidWithdrawn(
       catalogue,
-      complain,
+      reportProblem,
       (withdrawn) =>
         withdrawn.kind === "adapter" &&
         withdrawn.model === line.model &&
@@ -95,13 +95,15 @@
   }
   const { version, layers, layerSets } = line;
   if (model.versions[version])
-    complain(`version '${version}' is there already`);
+    reportProblem(`version '${version}' already exists`);
   if (!coversOnce(layerSets, layers)) {
-    complain(`layerSets must cover layers 0 to ${layers} once each, in order`);
+    reportProblem(
+      `layerSets must cover layers 0 to ${layers} once each, in order`,
+    );
   }
   forbidWithdrawn(
     catalogue,
-    complain,
+    reportProblem,
     (withdrawn) =>
       (withdrawn.kind === "version" &&
         withdrawn.model === line.model &&
@@ -118,16 +120,20 @@
 function changeLine(
   catalogue: Catalogue,
   line: ChangedLine,
-  complain: ReportProblem,
+  reportProblem: ReportProblem,
 ): void {
   const model = catalogue.models[line.model];
   if (!model) {
-    complain(`no model '${line.model}'; add a version of it first`);
+    reportProblem(
+      `model '${line.model}' does not exist; add a version of it first`,
+    );
     return;
   }
   for (const version of line.serve) {
     if (!model.versions[version]) {
-      complain(`no version '${version}' of '${line.model}' may answer`);
+      reportProblem(
+        `version '${version}' of model '${line.model}' does not exist`,
+      );
     }
   }
   model.serve = [...line.serve];
@@ -142,20 +148,20 @@
 function withdrawLine(
   catalogue: Catalogue,
   line: WithdrawnLine,
-  options: { readonly complain: ReportProblem },
+  options: { readonly reportProblem: ReportProblem },
 ): readonly WithdrawnLine[] {
-  const { complain } = options;
+  const { reportProblem } = options;
   if (line.kind === "service") {
-    removeFrom(catalogue.services, line.service, complain);
+    removeFrom(catalogue.services, line.service, reportProblem);
     return [line];
   }
   const model = catalogue.models[line.model];
   if (!model) {
-    complain(`no model '${line.model}' to withdraw from`);
+    reportProblem(`model '${line.model}' does not exist`);
     return [line];
   }
   if (line.kind === "adapter") {
-    removeFrom(model.adapters, line.adapter, complain);
+    removeFrom(model.adapters, line.adapter, reportProblem);
     return [line];
   }
   const removed = Object.values(model.versions).filter((version) =>
@@ -163,7 +169,7 @@
       ? version.version === line.version
       : version.layerSets.some((set) => set.name === line.layerSet),
   );
-  if (removed.length === 0) complain("nothing that answers now has that name");
+  if (removed.length === 0) reportProblem("nothing in use has that name");
   for (const { version } of removed) removeVersion(model, version);
   if (line.kind === "version") return [line];
   const versions = removed.map(
@@ -182,18 +188,22 @@
   model.serve = model.serve.filter((name) => name !== version);
 }
 
-function addTo(names: string[], name: string, complain: ReportProblem): void {
-  if (names.includes(name)) complain(`'${name}' is there already`);
+function addTo(
+  names: string[],
+  name: string,
+  reportProblem: ReportProblem,
+): void {
+  if (names.includes(name)) reportProblem(`'${name}' already exists`);
   else names.push(name);
 }
 
 function removeFrom(
   names: string[],
   name: string,
-  complain: ReportProblem,
+  reportProblem: ReportProblem,
 ): void {
   const index = names.indexOf(name);
-  if (index < 0) complain(`nothing that answers now has the name '${name}'`);
+  if (index < 0) reportProblem(`nothing in use has the name '${name}'`);
   else names.splice(index, 1);
 }
 
@@ -203,12 +213,14 @@
  */
 function forbidWithdrawn(
   catalogue: Catalogue,
-  complain: ReportProblem,
+  reportProblem: ReportProblem,
   matches: (line: WithdrawnLine) => boolean,
 ): void {
   const withdrawal = catalogue.withdrawn.find(({ line }) => matches(line));
   if (!withdrawal) return;
-  complain(`withdrawn for good by note ${withdrawal.number}; use a new name`);
+  reportProblem(
+    `withdrawn for good by note ${withdrawal.number}; use a new name`,
+  );
 }
 
 function coversOnce(
--- a/packages/release/src/note_history.ts
+++ b/packages/release/src/note_history.ts
@@ -19,7 +19,7 @@
 
 export interface NoteHistory {
   /** Stores a note that was the head; resolves to whether it is stored. */
-  keep(head: NoteRecord): Promise<boolean>;
+  save(head: NoteRecord): Promise<boolean>;
   /** Finds a recorded note; `undefined` if the store is unreachable. */
   find(number: number): Promise<NoteRecord | null | undefined>;
   /** Lists the latest notes, newest first; `null` if the store fails. */
@@ -56,7 +56,7 @@
 
   return {
     find,
-    async keep(head) {
+    async save(head) {
       const key = storedKeys.history(deployment, head.number);
       const written = await store.write(key, toHistoryRecord(head), {
         expectedVersion: null,
--- a/packages/release/src/note_keeper.ts
+++ b/packages/release/src/note_keeper.ts
@@ -66,7 +66,7 @@
   /** Answers a `note.current` call of a peer. */
   answer(request: NoteRequest): NoteReply;
   /** Instances that requested the note and may still serve from the reply. */
-  askers(): readonly InstanceReference[];
+  requesters(): readonly InstanceReference[];
   /** Reads the note from the store or from peers now. */
   refresh(): Promise<void>;
   /** Age of the last contact; `null` before the first one. */
@@ -78,8 +78,8 @@
 export function createNoteKeeper(options: NoteKeeperOptions): NoteKeeper {
   const { membership, metrics } = options;
   const allowanceMs = options.allowanceMs ?? DEFAULT_ALLOWANCE_MS;
-  const startedAt = readMoment();
-  const listedSince = options.listedSince ?? (() => startedAt);
+  const createdAt = readMoment();
+  const listedSince = options.listedSince ?? (() => createdAt);
   const contact = createContact({ allowanceMs, listedSince });
   const listeners = new Set<(record: NoteRecord) => void>();
   const requesters = new Map<string, { from: InstanceReference; at: Moment }>();
@@ -96,13 +96,13 @@
     listedSince,
     hintedNumber: options.hintedNumber ?? (() => 0),
     appliedNumber,
-    takeHead,
-    takeReply,
+    handleHead,
+    handleReply,
   });
   const pauses = createPauseDetector({
     onPause(gapMs) {
       log.warn("process_paused", { gap_ms: Math.round(gapMs) });
-      pendingRefresh = sources.lookAround();
+      pendingRefresh = sources.refreshFromAll();
     },
   });
   const contactTimer = setInterval(checkContact, CONTACT_CHECK_INTERVAL_MS);
@@ -129,23 +129,23 @@
     for (const listener of [...listeners]) listener(record);
   }
 
-  function takeHead({ record, began }: HeadRead): void {
+  function handleHead({ record, startedAt }: HeadRead): void {
     if (record) offer(record);
-    contact.heardFromStore(began);
+    contact.recordStoreRead(startedAt);
     checkContact();
   }
 
-  function takeReply(reply: NoteReply, asked: Moment): void {
+  function handleReply(reply: NoteReply, requestedAt: Moment): void {
     if (reply.record) offer(reply.record);
     // The contact age holds for the peer's note number. It does not show that
     // a higher number, applied here, is still the latest.
     if (reply.contactAgeMs === null || reply.number > appliedNumber()) return;
-    contact.heardFromPeer(asked, reply.contactAgeMs);
+    contact.recordPeerContact(requestedAt, reply.contactAgeMs);
     checkContact();
   }
 
   function checkContact(): void {
-    const isInContact = contact.holds();
+    const isInContact = contact.isValid();
     if (isInContact === wasInContact) return;
     wasInContact = isInContact;
     if (isInContact) log.info("contact_made", { note: appliedNumber() });
@@ -158,14 +158,14 @@
    * No token is sent meanwhile, because each one checks `current()`.
    */
   async function handleLapsedContact(): Promise<void> {
-    await sources.lookAround();
-    if (contact.holds() || !applied) return;
+    await sources.refreshFromAll();
+    if (contact.isValid() || !applied) return;
     log.warn("contact_lapsed", { note: appliedNumber() });
     notifyListeners({ ...applied, catalogue: emptyCatalogue });
   }
 
   function current(): NoteRecord | null {
-    return contact.holds() ? applied : null;
+    return contact.isValid() ? applied : null;
   }
 
   /**
@@ -176,7 +176,7 @@
    * that is cut off.
    */
   async function fresh(): Promise<NoteRecord | null> {
-    pauses.look();
+    pauses.check();
     const pending = pendingRefresh;
     if (pending) {
       await pending;
@@ -211,7 +211,7 @@
       listeners.add(listener);
       return () => listeners.delete(listener);
     },
-    askers: () => [...requesters.values()].map(({ from }) => from),
+    requesters: () => [...requesters.values()].map(({ from }) => from),
     contactAgeMs: contact.ageMs,
     stop() {
       stopping.abort();
--- a/packages/release/src/note_sources.ts
+++ b/packages/release/src/note_sources.ts
@@ -40,9 +40,9 @@
   /** The highest note number that an engine reported. */
   readonly hintedNumber: () => number;
   readonly appliedNumber: () => number;
-  readonly takeHead: (news: HeadRead) => void;
+  readonly handleHead: (read: HeadRead) => void;
   /** Handles a peer's reply to a request that was sent at `requestedAt`. */
-  readonly takeReply: (reply: NoteReply, requestedAt: Moment) => void;
+  readonly handleReply: (reply: NoteReply, requestedAt: Moment) => void;
 }
 
 export interface NoteSources {
@@ -53,7 +53,7 @@
    * read or, if that fails, once peers have replied too; after a second in any
    * case.
    */
-  lookAround(): Promise<void>;
+  refreshFromAll(): Promise<void>;
 }
 
 /** Starts to follow the head object and the peers. */
@@ -66,7 +66,7 @@
     void fetchAfterDelay(record.id);
   });
   signal.addEventListener("abort", unsubscribe, { once: true });
-  void followHead({ store, headKey, signal, take: options.takeHead });
+  void followHead({ store, headKey, signal, onRead: options.handleHead });
   void refreshRepeatedly();
 
   async function refreshRepeatedly(): Promise<void> {
@@ -96,9 +96,9 @@
   }
 
   async function readStore(): Promise<boolean> {
-    const news = await readHead({ store, headKey, signal });
-    if (news) options.takeHead(news);
-    return news !== null;
+    const headRead = await readHead({ store, headKey, signal });
+    if (headRead) options.handleHead(headRead);
+    return headRead !== null;
   }
 
   /** Requests the note from a few peers; resolves to whether one replied. */
@@ -119,7 +119,7 @@
     });
     if (result.kind !== "ok") return false;
     const parsed = noteReplySchema.safeParse(result.value);
-    if (parsed.success) options.takeReply(parsed.data, requestedAt);
+    if (parsed.success) options.handleReply(parsed.data, requestedAt);
     return parsed.success;
   }
 
@@ -143,7 +143,7 @@
     fetching.delete(id);
   }
 
-  async function lookAround(): Promise<void> {
+  async function refreshFromAll(): Promise<void> {
     const storeRead = readStore();
     const bothRefreshes = Promise.all([storeRead, askPeers()]);
     const refreshed = storeRead.then((read) =>
@@ -152,5 +152,5 @@
     await Promise.race([refreshed, pause(REFRESH_TIMEOUT_MS, signal)]);
   }
 
-  return { refresh, lookAround };
+  return { refresh, refreshFromAll };
 }
--- a/packages/release/src/pause_detector.ts
+++ b/packages/release/src/pause_detector.ts
@@ -7,27 +7,27 @@
 
 export interface PauseDetector {
   /** Checks for a pause now; calls `onPause` before it returns. */
-  look(): void;
+  check(): void;
   stop(): void;
 }
 
 /**
  * Creates a detector, which measures the time between two checks. When a frozen
  * process resumes, queued requests may be served before any timer runs, so code
- * that must not miss a pause calls `look` itself. The timer keeps the time
+ * that must not miss a pause calls `check` itself. The timer keeps the time
  * between checks short while the process runs.
  */
 export function createPauseDetector(options: {
   readonly onPause: (gapMs: number) => void;
 }): PauseDetector {
   let lastCheckAt = readMoment();
-  const timer = setInterval(look, CHECK_INTERVAL_MS);
+  const timer = setInterval(check, CHECK_INTERVAL_MS);
 
-  function look(): void {
+  function check(): void {
     const gapMs = elapsedMs(lastCheckAt);
     lastCheckAt = readMoment();
     if (gapMs >= MIN_PAUSE_MS) options.onPause(gapMs);
   }
 
-  return { look, stop: () => clearInterval(timer) };
+  return { check, stop: () => clearInterval(timer) };
 }
--- a/packages/release/src/publisher.ts
+++ b/packages/release/src/publisher.ts
@@ -95,14 +95,15 @@
     const size = Buffer.byteLength(JSON.stringify(nextRecord));
     if (size > MAX_RECORD_BYTES) return tooLarge(size);
     const problems = await withdrawnNames.findReused(note);
-    if (problems === null) return unavailable("withdrawn names not read");
+    if (problems === null)
+      return unavailable("the withdrawn names could not be read");
     if (problems.length > 0) return { kind: "invalid", problems };
     // Before the head is overwritten, its note is copied to the history and
     // the withdrawals that the next head drops to objects of their own. No
     // other object holds them.
     const [isInHistory, areMoved] = await Promise.all([
-      base.head === null || history.keep(base.head),
-      withdrawnNames.keep(movedWithdrawals),
+      base.head === null || history.save(base.head),
+      withdrawnNames.save(movedWithdrawals),
     ]);
     if (!isInHistory) return unavailable("history could not be written");
     if (!areMoved) return unavailable("old withdrawals could not be written");
@@ -126,7 +127,7 @@
     const stored = parseStoredNote(read.value);
     const number = stored.kind === "note" ? stored.record.number : 0;
     if (number > note.supersedes) return resolveConflict(read.value, note);
-    return unknown("the write may still arrive");
+    return unknown("the write may still take effect");
   }
 
   function resolveConflict(
@@ -154,7 +155,9 @@
     if ((head?.number ?? 0) < number) return { kind: "conflict", head };
     const winner = head?.number === number ? head : await history.find(number);
     if (winner === undefined) {
-      return unknown("the history cannot be read to see which note won");
+      return unknown(
+        "the history cannot be read to determine which note was recorded",
+      );
     }
     if (winner?.note.publishId !== note.publishId) {
       return { kind: "conflict", head };
@@ -191,6 +194,6 @@
 }
 
 function tooLarge(size: number): PublishResult {
-  const message = `the record would have ${size} bytes, more than the ${MAX_RECORD_BYTES} that the store takes; withdraw what is not used any more or split the note`;
+  const message = `the record would have ${size} bytes, more than the ${MAX_RECORD_BYTES} that the store accepts; withdraw unused names or split the note`;
   return { kind: "invalid", problems: [{ line: "note", message }] };
 }
--- a/packages/release/src/status_collector.ts
+++ b/packages/release/src/status_collector.ts
@@ -44,7 +44,7 @@
 /** What has been collected about one note. */
 interface NoteProgress {
   /** When this instance learned of the note; it was recorded before that. */
-  readonly recordedBefore: Moment;
+  readonly learnedAt: Moment;
   /** The list read after the note was recorded; `null` until that succeeds. */
   registry: readonly RegistryEntry[] | null;
   /** Confirmations of the note, by the name of the process. */
@@ -53,9 +53,9 @@
    * All processes named since the note was learned, by name. They must still
    * confirm if the membership drops them between two calls of `status`.
    */
-  readonly named: Map<string, InstanceReference>;
+  readonly processes: Map<string, InstanceReference>;
   /** Whether every engine had an instance ordering it at the last call. */
-  enginesHeard: boolean;
+  areAllEnginesReported: boolean;
 }
 
 /** Creates the collector of one instance. */
@@ -67,7 +67,7 @@
   const evidence = createEvidence(options);
   const note = keeper.applied();
   if (note) progressOf(note.number);
-  // `recordedBefore` is set as soon as this instance learns of a note. Silent
+  // `learnedAt` is set as soon as this instance learns of a note. Silent
   // instances are reported as stopped after an allowance counted from there.
   keeper.onChange((record) => progressOf(record.number));
 
@@ -75,11 +75,11 @@
     const existing = progressByNote.get(number);
     if (existing) return existing;
     const created: NoteProgress = {
-      recordedBefore: readMoment(),
+      learnedAt: readMoment(),
       registry: null,
       confirmed: new Map(),
-      named: new Map(),
-      enginesHeard: false,
+      processes: new Map(),
+      areAllEnginesReported: false,
     };
     progressByNote.set(number, created);
     const oldest = Math.min(...progressByNote.keys());
@@ -101,7 +101,7 @@
     const queried = new Set([self]);
     // A peer with the same digest omits its list, so every instance behind the
     // digest must be queried below.
-    const knownInstances = confirmer.known();
+    const knownInstances = confirmer.knownInstances();
     const knownDigest = digestInstances(knownInstances);
     let pending = listInitialProcesses(progress, knownInstances);
     // An answer may name further instances. All that are reachable through
@@ -109,11 +109,11 @@
     while (pending.length > 0) {
       for (const instance of pending) {
         queried.add(processNameOf(instance));
-        progress.named.set(processNameOf(instance), instance);
+        progress.processes.set(processNameOf(instance), instance);
       }
       const answers = await Promise.all(
         pending.map((instance) =>
-          collectFrom(instance, { number, found: progress, knownDigest }),
+          collectFrom(instance, { number, progress, knownDigest }),
         ),
       );
       lines.push(...answers.map(({ line }) => line));
@@ -130,7 +130,9 @@
       confirmations,
       engines: options.engines(),
     });
-    progress.enginesHeard = engines.every(({ state }) => state !== "unheard");
+    progress.areAllEnginesReported = engines.every(
+      ({ state }) => state !== "unheard",
+    );
     const phase = computePhase(lines, engines);
     return { number, phase, instances: lines, engines: [...engines] };
   }
@@ -158,7 +160,7 @@
     const members = membership.peers().map(({ record }) => record);
     const registry = progress.registry ?? [];
     const names = [
-      ...progress.named.values(),
+      ...progress.processes.values(),
       ...members,
       ...knownInstances,
       ...registry,
@@ -170,21 +172,21 @@
     instance: InstanceReference,
     context: {
       readonly number: number;
-      readonly found: NoteProgress;
+      readonly progress: NoteProgress;
       readonly knownDigest: string;
     },
   ): Promise<{ line: InstanceLine; confirmation?: NoteConfirmation }> {
-    const { number, found, knownDigest } = context;
+    const { number, progress, knownDigest } = context;
     const name = processNameOf(instance);
-    const earlier = found.confirmed.get(name);
+    const earlier = progress.confirmed.get(name);
     // A confirmation stays valid, but the instances that order engines change.
     // Those with engines are queried each time, and so are all others while
     // any engine has no instance ordering it.
-    if (earlier?.engines.length === 0 && found.enginesHeard) {
+    if (earlier?.engines.length === 0 && progress.areAllEnginesReported) {
       return { line: toInstanceLine(earlier, number), confirmation: earlier };
     }
-    const goodbye = evidence.goodbye(instance);
-    if (goodbye) return { line: goodbye };
+    const leftLine = evidence.describeLeft(instance);
+    if (leftLine) return { line: leftLine };
     const answer = await requestConfirmation(instance, {
       peers: options.peers,
       request: { knownDigest },
@@ -192,12 +194,14 @@
     if (answer.kind === "confirmed") {
       const { confirmation } = answer;
       if (confirmation.applied >= number) {
-        found.confirmed.set(name, confirmation);
+        progress.confirmed.set(name, confirmation);
       }
       return { line: toInstanceLine(confirmation, number), confirmation };
     }
     if (earlier) return { line: toInstanceLine(earlier, number) };
-    return { line: evidence.judge(instance, { answer, ...found }) };
+    return {
+      line: evidence.describeUnconfirmed(instance, { answer, ...progress }),
+    };
   }
 
   return { status };
@@ -228,7 +232,8 @@
     failureDomain: "unknown",
     state: "unheard",
     applied: 0,
-    detail: "the store's list of instances has not been read since the note",
+    detail:
+      "the store's list of instances has not been read since the note was recorded",
   };
 }
 
--- a/packages/release/src/withdrawn_names.ts
+++ b/packages/release/src/withdrawn_names.ts
@@ -59,7 +59,7 @@
 
 export interface WithdrawnNames {
   /** Stores recorded withdrawals; resolves to whether all are stored. */
-  keep(withdrawals: readonly Withdrawal[]): Promise<boolean>;
+  save(withdrawals: readonly Withdrawal[]): Promise<boolean>;
   /** Finds lines that reuse a withdrawn name; `null` if the store fails. */
   findReused(note: ReleaseNote): Promise<readonly NoteProblem[] | null>;
 }
@@ -91,17 +91,17 @@
 
   async function findWithdrawnName(
     use: NameUse,
-  ): Promise<NoteProblem | null | "unread"> {
+  ): Promise<NoteProblem | null | "store_failed"> {
     const key = storedKeys.withdrawn(deployment, use.name);
     const read = await withinBudget(() => store.read(key));
-    if (read.kind !== "ok") return "unread";
+    if (read.kind !== "ok") return "store_failed";
     if (read.value === null) return null;
     const message = `'${use.name}' was withdrawn for good by an older note; use a new name`;
     return { line: use.line, message };
   }
 
   return {
-    async keep(withdrawals) {
+    async save(withdrawals) {
       const kept = await Promise.all(withdrawals.map(storeWithdrawal));
       return kept.every(Boolean);
     },
@@ -112,7 +112,7 @@
       const problems: NoteProblem[] = [];
       for (const use of uses) {
         const found = await findWithdrawnName(use);
-        if (found === "unread") return null;
+        if (found === "store_failed") return null;
         if (found) problems.push(found);
       }
       return problems;
