--- a/packages/release/src/explain.ts
+++ b/packages/release/src/explain.ts
@@ -7,7 +7,11 @@
   Withdrawal,
   WithdrawnLine,
 } from "@rosemarypin/schemas";
-import { type Permission, permitAnswer, permitService } from "./allowed.ts";
+import {
+  type Permission,
+  permitAnswer,
+  permitService,
+} from "./answer_permission.ts";
 
 /** What to explain. */
 export type ExplainSubject =
--- a/packages/release/src/mod.ts
+++ b/packages/release/src/mod.ts
@@ -1,5 +1,5 @@
 /** The life of a release note: check, publish, spread, apply, confirm. */
-export * from "./allowed.ts";
+export * from "./answer_permission.ts";
 export * from "./confirmations.ts";
 export * from "./explain.ts";
 export * from "./merge_note.ts";
--- a/packages/release/src/note_keeper.ts
+++ b/packages/release/src/note_keeper.ts
@@ -155,7 +155,7 @@
   /**
    * Cuts running answers once the allowance has lapsed. A wall clock that is
    * set forward has the same effect, so the store and peers are read first.
-   * No token is sent meanwhile, because each one checks `current()`.
+   * No token is sent meanwhile, because each one awaits `fresh()` first.
    */
   async function handleLapsedContact(): Promise<void> {
     await sources.refreshFromAll();
--- a/packages/release/src/note_status.ts
+++ b/packages/release/src/note_status.ts
@@ -10,7 +10,7 @@
 export type EngineLine = NoteStatus["engines"][number];
 
 /** An engine that can answer requests, with its failure domain. */
-export interface EngineName {
+export interface EngineReference {
   readonly id: string;
   readonly failureDomain: string;
 }
@@ -23,7 +23,7 @@
   number: number,
   options: {
     readonly confirmations: readonly NoteConfirmation[];
-    readonly engines: readonly EngineName[];
+    readonly engines: readonly EngineReference[];
   },
 ): readonly EngineLine[] {
   const latestByEngine = new Map<
--- a/packages/release/src/publisher_test.ts
+++ b/packages/release/src/publisher_test.ts
@@ -227,9 +227,9 @@
     const kept = older.map(({ number, catalogue }) =>
       catalogue.withdrawn.map((withdrawal) => withdrawal.number === number),
     );
-    expect(kept.filter((own) => own.length > 1 || own.includes(false))).toEqual(
-      [],
-    );
+    expect(
+      kept.filter((isOwn) => isOwn.length > 1 || isOwn.includes(false)),
+    ).toEqual([]);
     const together = [head, ...older.toReversed()].flatMap(
       (record) => record?.catalogue.withdrawn ?? [],
     );
--- a/packages/release/src/registration.ts
+++ b/packages/release/src/registration.ts
@@ -22,7 +22,7 @@
 import { backoffMs, jittered } from "./backoff.ts";
 import { type Moment, readMoment } from "./moment.ts";
 
-/** How often one instance per failure domain removes entries of ended ones. */
+/** How often the pruner of a failure domain removes ended instances. */
 const PRUNE_INTERVAL_MS = 60_000;
 /** Pause after a write conflict; many instances start at the same time. */
 const CONFLICT_RETRY_MS = 100;
--- a/packages/release/src/status_collector.ts
+++ b/packages/release/src/status_collector.ts
@@ -14,7 +14,7 @@
 import {
   computePhase,
   describeEngines,
-  type EngineName,
+  type EngineReference,
   type InstanceLine,
 } from "./note_status.ts";
 
@@ -27,7 +27,7 @@
   readonly keeper: NoteKeeper;
   readonly confirmer: Confirmer;
   /** All engines that can answer requests. */
-  readonly engines: () => readonly EngineName[];
+  readonly engines: () => readonly EngineReference[];
   /** The store's list of instances; `null` if it cannot be read. */
   readonly readRegistry: () => Promise<readonly RegistryEntry[] | null>;
   /** The contact allowance that this instance is configured with. */
--- a/packages/release/src/withdrawn_names.ts
+++ b/packages/release/src/withdrawn_names.ts
@@ -13,7 +13,7 @@
 import type { ObjectStore, StoreResult } from "@rosemarypin/store";
 import type { NoteProblem } from "./merge_note.ts";
 
-/** More than one day's withdrawals if half of 410 notes a day have one. */
+/** Covers a day with 410 notes of which half withdraw something. */
 const MAX_HEAD_WITHDRAWALS = 256;
 /** Limits the size of the head, because one reason may take 6 KB. */
 const MAX_HEAD_WITHDRAWAL_BYTES = 262_144;
@@ -26,7 +26,7 @@
 export interface SplitWithdrawals {
   /** Withdrawals that the next head holds. */
   readonly kept: Withdrawal[];
-  /** Withdrawals to store in own objects before the next head is written. */
+  /** Withdrawals to store separately before the next head is written. */
   readonly moved: readonly Withdrawal[];
 }
 
