--- a/packages/release/src/evidence.ts
+++ b/packages/release/src/instance_liveness.ts
@@ -15,9 +15,9 @@
  */
 const UNLISTED_EXPIRY_MS = UNLISTED_ALLOWANCE_MS * (1 + MAX_CLOCK_DRIFT) ** 2;
 
-export interface EvidenceOptions {
+export interface InstanceLivenessOptions {
   readonly membership: Membership;
-  /** The contact allowance that this instance is configured with. */
+  /** The contact allowance that the collecting instance is configured with. */
   readonly allowanceMs: number;
   /**
    * Whether a refused connection, or another process at the address, proves
@@ -29,13 +29,16 @@
 /** What is known about an instance that has not confirmed a note. */
 export interface UnconfirmedInstance {
   readonly answer: ConfirmAnswer;
-  /** When this instance learned of the note; it was recorded before that. */
+  /**
+   * When the collecting instance learned of the note, which was recorded before
+   * that.
+   */
   readonly learnedAt: Moment;
   /** The store's list of instances; `null` if it has not been read. */
   readonly registry: readonly RegistryEntry[] | null;
 }
 
-export interface Evidence {
+export interface InstanceLiveness {
   /** Describes an instance that left the membership; `null` if it has not. */
   describeLeft(instance: InstanceReference): InstanceLine | null;
   /** Describes an instance that did not confirm the note. */
@@ -45,8 +48,10 @@
   ): InstanceLine;
 }
 
-/** Creates the evidence that one instance collects about others. */
-export function createEvidence(options: EvidenceOptions): Evidence {
+/** Creates the liveness checks that one instance makes about others. */
+export function createInstanceLiveness(
+  options: InstanceLivenessOptions,
+): InstanceLiveness {
   const { membership } = options;
   /** When each process was first seen to have ended, by its name. */
   const endedAt = new Map<string, Moment>();
@@ -93,7 +98,8 @@
 
   /**
    * Reports an instance that does not answer as stopped only after the longest
-   * contact allowance has elapsed since this instance learned of the note.
+   * contact allowance has elapsed since the collecting instance learned of the
+   * note.
    */
   function describeSilent(
     instance: InstanceReference,
--- a/packages/release/src/merge_note_test.ts
+++ b/packages/release/src/merge_note_test.ts
@@ -23,9 +23,9 @@
 });
 
 function firstCatalogue() {
-  const folded = mergeNote(emptyCatalogue, base, { number: 1 });
-  if (folded.kind !== "ok") throw new Error("the base note is wrong");
-  return folded.catalogue;
+  const merged = mergeNote(emptyCatalogue, base, { number: 1 });
+  if (merged.kind !== "ok") throw new Error("the base note is wrong");
+  return merged.catalogue;
 }
 
 function nextNote(lines: Record<string, unknown>) {
@@ -41,8 +41,8 @@
   it("withdraws every version that uses a withdrawn layer set", () => {
     const withdrawn = [{ kind: "layerSet", model: "assist", layerSet: "low" }];
     const note = nextNote({ withdrawn });
-    const folded = mergeNote(firstCatalogue(), note, { number: 2 });
-    expect(folded).toMatchObject({
+    const merged = mergeNote(firstCatalogue(), note, { number: 2 });
+    expect(merged).toMatchObject({
       kind: "ok",
       catalogue: { models: { assist: { versions: {}, serve: [] } } },
     });
@@ -85,9 +85,9 @@
     },
   ];
   it.each(refused)("refuses $name", ({ lines, message }) => {
-    const folded = mergeNote(firstCatalogue(), nextNote(lines), { number: 2 });
-    expect(folded.kind).toBe("invalid");
-    expect(JSON.stringify(folded)).toContain(message);
+    const merged = mergeNote(firstCatalogue(), nextNote(lines), { number: 2 });
+    expect(merged.kind).toBe("invalid");
+    expect(JSON.stringify(merged)).toContain(message);
   });
 
   it("refuses the name of a version whose layer set was withdrawn", () => {
@@ -101,8 +101,8 @@
     if (recalled.kind !== "ok") throw new Error("the recall was refused");
     const layerSets = [{ name: "other", from: 0, to: 4 }];
     const again = nextNote({ added: [{ ...base.added[0], layerSets }] });
-    const folded = mergeNote(recalled.catalogue, again, { number: 3 });
-    expect(JSON.stringify(folded)).toContain("withdrawn for good by note 2");
+    const merged = mergeNote(recalled.catalogue, again, { number: 3 });
+    expect(JSON.stringify(merged)).toContain("withdrawn for good by note 2");
   });
 
   it("refuses a withdrawn name", () => {
@@ -114,7 +114,7 @@
     });
     if (recalled.kind !== "ok") throw new Error("the recall was refused");
     const again = nextNote({ added: [base.added[0]] });
-    const folded = mergeNote(recalled.catalogue, again, { number: 3 });
-    expect(JSON.stringify(folded)).toContain("withdrawn for good by note 2");
+    const merged = mergeNote(recalled.catalogue, again, { number: 3 });
+    expect(JSON.stringify(merged)).toContain("withdrawn for good by note 2");
   });
 });
--- a/packages/release/src/note_check.ts
+++ b/packages/release/src/note_check.ts
@@ -16,17 +16,17 @@
 ): NoteCheck {
   const against = record?.number ?? 0;
   const base = record?.catalogue ?? emptyCatalogue;
-  const folded = mergeNote(base, note, { number: against + 1 });
-  const problems = folded.kind === "invalid" ? [...folded.problems] : [];
+  const merged = mergeNote(base, note, { number: against + 1 });
+  const problems = merged.kind === "invalid" ? [...merged.problems] : [];
   if (note.supersedes !== against) {
     problems.unshift({
       line: "supersedes",
       message: `note ${against} is in use; look at it and write ${against}`,
     });
   }
-  if (folded.kind === "invalid" || problems.length > 0) {
+  if (merged.kind === "invalid" || problems.length > 0) {
     return { valid: false, against, problems, changes: [] };
   }
-  const changes = diffCatalogues(base, folded.catalogue);
+  const changes = diffCatalogues(base, merged.catalogue);
   return { valid: true, against, problems, changes };
 }
--- a/packages/release/src/note_sources.ts
+++ b/packages/release/src/note_sources.ts
@@ -13,7 +13,7 @@
 import { UNLISTED_ALLOWANCE_MS } from "./contact.ts";
 import { followHead, type HeadRead, readHead } from "./head_follower.ts";
 import { type Moment, readMoment } from "./moment.ts";
-import { choosePeersToAsk, isReader } from "./refresh_roles.ts";
+import { choosePeersToQuery, isReader } from "./refresh_roles.ts";
 
 /** How often an instance that reads the store renews its contact. */
 const STORE_READ_INTERVAL_MS = 1_000;
@@ -104,7 +104,7 @@
   /** Requests the note from a few peers; resolves to whether one replied. */
   async function askPeers(): Promise<boolean> {
     const answered = await Promise.all(
-      choosePeersToAsk(membership).map((address) => askPeer(address)),
+      choosePeersToQuery(membership).map((address) => askPeer(address)),
     );
     return answered.includes(true);
   }
--- a/packages/release/src/publisher.ts
+++ b/packages/release/src/publisher.ts
@@ -77,18 +77,16 @@
   ): Promise<PublishResult> {
     const number = note.supersedes + 1;
     const catalogue = base.head?.catalogue ?? emptyCatalogue;
-    const folded = mergeNote(catalogue, note, { number });
-    if (folded.kind === "invalid") return folded;
+    const merged = mergeNote(catalogue, note, { number });
+    if (merged.kind === "invalid") return merged;
     const { kept: keptWithdrawals, moved: movedWithdrawals } = splitWithdrawals(
-      folded.catalogue.withdrawn,
-      {
-        before: number,
-      },
+      merged.catalogue.withdrawn,
+      { before: number },
     );
     const nextRecord: NoteRecord = {
       number,
       note,
-      catalogue: { ...folded.catalogue, withdrawn: keptWithdrawals },
+      catalogue: { ...merged.catalogue, withdrawn: keptWithdrawals },
       recordedAt: Date.now(),
       recordedBy: options.instance,
     };
@@ -153,19 +151,20 @@
   ): Promise<PublishResult> {
     const number = note.supersedes + 1;
     if ((head?.number ?? 0) < number) return { kind: "conflict", head };
-    const winner = head?.number === number ? head : await history.find(number);
-    if (winner === undefined) {
+    const recordedNote =
+      head?.number === number ? head : await history.find(number);
+    if (recordedNote === undefined) {
       return unknown(
         "the history cannot be read to determine which note was recorded",
       );
     }
-    if (winner?.note.publishId !== note.publishId) {
+    if (recordedNote?.note.publishId !== note.publishId) {
       return { kind: "conflict", head };
     }
     // The head is applied instead of the recorded note, because records in the
     // history lack the withdrawals of earlier notes.
     if (head) keeper.offer(head);
-    return reportRecorded(winner, true);
+    return reportRecorded(recordedNote, true);
   }
 
   function applyRecorded(record: NoteRecord, repeated: boolean): PublishResult {
--- a/packages/release/src/refresh_roles.ts
+++ b/packages/release/src/refresh_roles.ts
@@ -23,7 +23,7 @@
 }
 
 /** Chooses the readers of the same domain and a random remote instance. */
-export function choosePeersToAsk(membership: Membership): readonly Address[] {
+export function choosePeersToQuery(membership: Membership): readonly Address[] {
   const { failureDomain } = membership.self();
   const localReaders = livePeersInSameDomain(membership)
     .sort((a, b) => (a.record.id < b.record.id ? -1 : 1))
--- a/packages/release/src/registration.ts
+++ b/packages/release/src/registration.ts
@@ -58,7 +58,7 @@
   const key = storedKeys.instances(options.deployment, self.failureDomain);
   const stopping = new AbortController();
   const ownEntry: RegistryEntry = { ...self, allowanceMs: options.allowanceMs };
-  let listed: Moment | null = null;
+  let listedAt: Moment | null = null;
   void run();
 
   async function run(): Promise<void> {
@@ -78,7 +78,7 @@
         ownEntry,
       ]);
       if (result === "written") {
-        listed = readMoment();
+        listedAt = readMoment();
         log.info("listed", { instance: self.id });
         return options.onListed();
       }
@@ -130,11 +130,11 @@
   }
 
   return {
-    listedSince: () => listed,
+    listedSince: () => listedAt,
     async leave() {
       stopping.abort();
-      if (!listed) return;
-      listed = null;
+      if (!listedAt) return;
+      listedAt = null;
       const deadline = new Promise<void>((resolve) => {
         setTimeout(resolve, LEAVE_TIMEOUT_MS).unref();
       });
@@ -156,9 +156,9 @@
   readonly store: ObjectStore;
 }): Promise<readonly RegistryEntry[] | null> {
   const prefix = storedKeys.instances(options.deployment, "");
-  const listed = await options.store.list(prefix);
-  if (listed.kind !== "ok") return null;
-  const entries = listed.value.map(parseEntries);
+  const listing = await options.store.list(prefix);
+  if (listing.kind !== "ok") return null;
+  const entries = listing.value.map(parseEntries);
   return entries.includes(null) ? null : entries.flatMap((list) => list ?? []);
 }
 
--- a/packages/release/src/status_collector.ts
+++ b/packages/release/src/status_collector.ts
@@ -7,7 +7,7 @@
   RegistryEntry,
 } from "@rosemarypin/schemas";
 import { type Confirmer, requestConfirmation } from "./confirmations.ts";
-import { createEvidence } from "./evidence.ts";
+import { createInstanceLiveness } from "./instance_liveness.ts";
 import { digestInstances, processNameOf } from "./known_instances.ts";
 import { type Moment, readMoment } from "./moment.ts";
 import type { NoteKeeper } from "./note_keeper.ts";
@@ -43,7 +43,7 @@
 
 /** What has been collected about one note. */
 interface NoteProgress {
-  /** When this instance learned of the note; it was recorded before that. */
+  /** When the collector learned of the note; it was recorded before that. */
   readonly learnedAt: Moment;
   /** The list read after the note was recorded; `null` until that succeeds. */
   registry: readonly RegistryEntry[] | null;
@@ -64,11 +64,11 @@
 ): StatusCollector {
   const { keeper, confirmer, membership } = options;
   const progressByNote = new Map<number, NoteProgress>();
-  const evidence = createEvidence(options);
+  const liveness = createInstanceLiveness(options);
   const note = keeper.applied();
   if (note) progressOf(note.number);
-  // `learnedAt` is set as soon as this instance learns of a note. Silent
-  // instances are reported as stopped after an allowance counted from there.
+  // Sets `learnedAt` as soon as this instance learns of a note. An instance
+  // that does not answer counts as stopped one allowance after that time.
   keeper.onChange((record) => progressOf(record.number));
 
   function progressOf(number: number): NoteProgress {
@@ -90,7 +90,7 @@
 
   async function status(number: number): Promise<NoteStatus> {
     if (!hasLearned(number)) await keeper.refresh();
-    // Evidence collected before the note is recorded would not count for it.
+    // Answers collected before the note is recorded do not count for it.
     if (!hasLearned(number)) return describeUnlearnedNote(number);
     const progress = progressOf(number);
     progress.registry ??= await options.readRegistry();
@@ -185,7 +185,7 @@
     if (earlier?.engines.length === 0 && progress.areAllEnginesReported) {
       return { line: toInstanceLine(earlier, number), confirmation: earlier };
     }
-    const leftLine = evidence.describeLeft(instance);
+    const leftLine = liveness.describeLeft(instance);
     if (leftLine) return { line: leftLine };
     const answer = await requestConfirmation(instance, {
       peers: options.peers,
@@ -200,7 +200,7 @@
     }
     if (earlier) return { line: toInstanceLine(earlier, number) };
     return {
-      line: evidence.describeUnconfirmed(instance, { answer, ...progress }),
+      line: liveness.describeUnconfirmed(instance, { answer, ...progress }),
     };
   }
 
