--- a/packages/gateway/src/callers/caller_listener.ts
+++ b/packages/gateway/src/callers/caller_listener.ts
@@ -110,31 +110,34 @@
     response: ServerResponse,
   ): Promise<void> {
     const startedAt = performance.now();
-    const facts = codec.decodeRequest(request.headers);
+    const metadata = codec.decodeRequest(request.headers);
     await options.warmUp();
     const applied = keeper.applied();
     const isPastStopGrace =
       (options.stoppingForMs() ?? 0) > ACCEPT_AFTER_STOP_MS;
     const admitted = isPastStopGrace
       ? { status: 503, reason: "stopping" }
-      : admit(request, { facts, applied });
+      : admit(request, { metadata, applied });
     if ("status" in admitted) {
-      return refuseRequest(request, response, { facts, refusal: admitted });
+      return refuseRequest(request, response, {
+        metadata,
+        refusal: admitted,
+      });
     }
     const body = await readBody(request, applied?.limits ?? DEFAULT_LIMITS);
     if (body === "too_large") {
       const refusal = { status: 413, reason: "body_too_large" };
       response.setHeader("Connection", "close");
-      return refuseRequest(request, response, { facts, refusal });
+      return refuseRequest(request, response, { metadata, refusal });
     }
     if (body === "broken") {
-      log.info("request_broken", { request: facts.requestId ?? "" });
+      log.info("request_broken", { request: metadata.requestId ?? "" });
       response.destroy();
       return;
     }
     const { route } = admitted;
     const callTimeoutMs = Math.min(
-      facts.deadlineMs ?? DEFAULT_DEADLINE_MS,
+      metadata.deadlineMs ?? DEFAULT_DEADLINE_MS,
       route.timeoutMs,
     );
     const callAbort = new AbortController();
@@ -147,8 +150,8 @@
       callAbort.abort();
     });
     const call: CallerCall = {
-      id: facts.requestId ?? crypto.randomUUID(),
-      facts,
+      id: metadata.requestId ?? crypto.randomUUID(),
+      metadata,
       ...admitted,
       method: request.method ?? "GET",
       path: request.url ?? "/",
@@ -172,12 +175,12 @@
   function refuseRequest(
     request: IncomingMessage,
     response: ServerResponse,
-    options: { readonly facts: RequestMetadata; readonly refusal: Refusal },
+    options: { readonly metadata: RequestMetadata; readonly refusal: Refusal },
   ): void {
-    const { facts, refusal } = options;
+    const { metadata, refusal } = options;
     const { status, reason } = refusal;
     log.info("request_refused", {
-      request: facts.requestId ?? "",
+      request: metadata.requestId ?? "",
       status,
       reason,
       host: request.headers.host,
@@ -185,7 +188,7 @@
       version: keeper.applied()?.version ?? 0,
     });
     request.resume();
-    refuse(codec, response, { status, reason, requestId: facts.requestId });
+    refuse(codec, response, { status, reason, requestId: metadata.requestId });
   }
 
   return { server, inProgress: () => inProgress };
@@ -195,11 +198,11 @@
 function admit(
   request: IncomingMessage,
   options: {
-    readonly facts: RequestMetadata;
+    readonly metadata: RequestMetadata;
     readonly applied: AppliedConfiguration | null;
   },
 ): Admission | Refusal {
-  const { facts, applied } = options;
+  const { metadata, applied } = options;
   if (!applied) return { status: 503, reason: "no_configuration" };
   if (headerBytes(request.rawHeaders) > applied.limits.headerBytes) {
     return { status: 431, reason: "headers_too_large" };
@@ -209,7 +212,7 @@
     pathOf(request.url ?? "/"),
   );
   if (!route) return { status: 404, reason: "no_route" };
-  const organisation = organisationOf(applied, facts);
+  const organisation = organisationOf(applied, metadata);
   if (!organisation && applied.organisations && !route.isPublic) {
     return { status: 401, reason: "unknown_key" };
   }
--- a/packages/gateway/src/streams/pipeline_router.ts
+++ b/packages/gateway/src/streams/pipeline_router.ts
@@ -101,7 +101,7 @@
       const { id, held, failureDomain } = server;
       if (!kind || !held || avoided.has(id)) return [];
       if (!fleet.isUsable(server)) return [];
-      const { memoryMb, stepFactor, readFactor } = kind;
+      const { memoryMb, stepFactor, prefillFactor } = kind;
       const { model } = engine;
       const layers = layersIn(held);
       const capacityTokenLayers =
@@ -121,13 +121,16 @@
           failureDomain,
           memoryMb,
           stepFactor,
-          readFactor,
+          prefillFactor,
           held,
           load: Math.max(
             load.held / Math.max(1, capacityTokenLayers),
             reportedLoad,
           ),
-          backlogMs: prefillMs(model, { readFactor, tokenLayers: load.unread }),
+          backlogMs: prefillMs(model, {
+            prefillFactor,
+            tokenLayers: load.unread,
+          }),
         },
       ];
     });
