--- a/packages/daemon/src/daemon.ts
+++ b/packages/daemon/src/daemon.ts
@@ -134,7 +134,7 @@
     peers,
     allowanceMs,
     listedSince: registration.listedSince,
-    hintedNumber: () => highestNoteOf(fleet),
+    highestReportedNumber: () => highestNoteOf(fleet),
     metrics,
   });
   const engines = createEngineClient();
--- a/packages/release/src/note_keeper.ts
+++ b/packages/release/src/note_keeper.ts
@@ -40,7 +40,7 @@
    */
   readonly listedSince?: () => Moment | null;
   /** The highest note number that an engine reported. */
-  readonly hintedNumber?: () => number;
+  readonly highestReportedNumber?: () => number;
   readonly metrics?: Metrics;
 }
 
@@ -94,7 +94,7 @@
     signal: stopping.signal,
     allowanceMs,
     listedSince,
-    hintedNumber: options.hintedNumber ?? (() => 0),
+    highestReportedNumber: options.highestReportedNumber ?? (() => 0),
     appliedNumber,
     handleHead,
     handleReply,
--- a/packages/release/src/note_sources.ts
+++ b/packages/release/src/note_sources.ts
@@ -38,7 +38,7 @@
   /** When the store listed this instance; `null` if it does not. */
   readonly listedSince: () => Moment | null;
   /** The highest note number that an engine reported. */
-  readonly hintedNumber: () => number;
+  readonly highestReportedNumber: () => number;
   readonly appliedNumber: () => number;
   readonly handleHead: (read: HeadRead) => void;
   /** Handles a peer's reply to a request that was sent at `requestedAt`. */
@@ -87,7 +87,7 @@
   }
 
   async function refresh(): Promise<void> {
-    const isBehind = options.hintedNumber() > appliedNumber();
+    const isBehind = options.highestReportedNumber() > appliedNumber();
     if (isReader(membership) || isBehind) {
       if (!(await readStore()) || !options.listedSince()) await askPeers();
     } else if (!(await askPeers())) {
