--- a/packages/telemetry/src/event_catalogue.ts
+++ b/packages/telemetry/src/event_catalogue.ts
@@ -426,6 +426,7 @@
 } as const satisfies Record<string, Record<string, LogEvent>>;
 
 type Groups = typeof EVENT_GROUPS;
+/** Intersection of all groups: maps each event name to its entry. */
 type Events = {
   [Group in keyof Groups]: (event: Groups[Group]) => void;
 }[keyof Groups] extends (event: infer All) => void
--- a/packages/telemetry/src/line_writer.ts
+++ b/packages/telemetry/src/line_writer.ts
@@ -1,7 +1,7 @@
 /** Writes log lines without blocking the process. */
 import { write } from "node:fs";
 
-/** Maximum size of the lines that wait to be written. */
+/** Maximum total size of the queued lines. */
 const MAX_PENDING_BYTES = 256 * 1024;
 /**
  * Ordinary lines are dropped beyond this limit. The rest is reserved for
@@ -54,11 +54,11 @@
   function send(bytes: Buffer): void {
     isWriting = true;
     writeBytes(bytes, (error, written) => {
-      // `EAGAIN` means that the pipe is full. Any other error is final, as the
-      // reader has closed the pipe, and the bytes are dropped.
-      const isBusy = error?.code === "EAGAIN";
+      // `EAGAIN` means that the pipe is full. Any other error is treated as
+      // final, as after the reader closed the pipe, and the bytes are dropped.
+      const isPipeFull = error?.code === "EAGAIN";
       const remaining = error ? bytes : bytes.subarray(written);
-      if (isBusy) {
+      if (isPipeFull) {
         setTimeout(() => send(remaining), RETRY_DELAY_MS);
         return;
       }
--- a/packages/telemetry/src/line_writer_test.ts
+++ b/packages/telemetry/src/line_writer_test.ts
@@ -52,17 +52,17 @@
   });
 
   it("retries a write that failed with EAGAIN", async () => {
-    let isBusy = true;
+    let isPipeFull = true;
     const written: string[] = [];
     const writer = createLineWriter((bytes, done) => {
-      if (isBusy)
+      if (isPipeFull)
         return done(Object.assign(new Error(), { code: "EAGAIN" }), 0);
       written.push(bytes.toString());
       done(null, bytes.length);
     });
     writer.line("a\n", ordinary);
     await new Promise((resolve) => setTimeout(resolve, 30));
-    isBusy = false;
+    isPipeFull = false;
     await writer.flush(1_000);
     expect(written).toEqual(["a\n"]);
   });
--- a/packages/telemetry/src/log_test.ts
+++ b/packages/telemetry/src/log_test.ts
@@ -20,7 +20,7 @@
 });
 
 describe("logger", () => {
-  it("writes one line of pairs for any values", () => {
+  it("writes an event as one line of key=value pairs, whatever its values contain", () => {
     // The cast allows an event and fields that are not in the catalogue.
     const write = createLogger("test").info as (...line: unknown[]) => void;
     write("happened", {
--- a/packages/telemetry/src/metrics.ts
+++ b/packages/telemetry/src/metrics.ts
@@ -8,9 +8,10 @@
 
 /**
  * Creates the metrics of one daemon in their own registry. No label names an
- * organisation: with 6,400 organisations and 16 models, two histograms alone
- * would have 204,800 series of 19 numbers in each instance.
- * `createServiceLevels` counts by organisation and limits its series.
+ * organisation: with 6,400 organisations and 16 models, the histograms
+ * `firstToken` and `betweenTokens` alone would have 204,800 series of 19
+ * numbers in each instance. `createServiceLevels` counts by organisation and
+ * limits its series.
  */
 export function createMetrics() {
   const registry = new Registry();
--- a/packages/telemetry/src/service_levels.ts
+++ b/packages/telemetry/src/service_levels.ts
@@ -12,9 +12,9 @@
 /** Length of the slow window, the current minute included. */
 const SLOW_MINUTES = 60;
 const FAST_MINUTES = 5;
-/** Maximum number of series of an instance; they take 1.6 MB. */
+/** Maximum number of series of an instance; 1,024 series take 1.6 MB. */
 const MAX_SERIES_COUNT = 1_024;
-/** Largest series that are kept when the maximum is reached. */
+/** Number of the largest series that a merge at the maximum keeps. */
 const SERIES_COUNT_AFTER_MERGE = 768;
 
 /** Identifies the series that an event is counted in. */
@@ -53,10 +53,10 @@
     const existing = series.get(id);
     if (existing) return existing;
     if (series.size >= MAX_SERIES_COUNT) mergeSmallestSeries();
-    return add(key);
+    return addSeries(key);
   }
 
-  function add(key: LevelKey): Series {
+  function addSeries(key: LevelKey): Series {
     const added = { ...key, window: createMinuteWindow() };
     series.set(seriesIdOf(key), added);
     return added;
@@ -65,7 +65,7 @@
   /**
    * Merges the smallest series into a common one per objective, as 6,400
    * organisations and 16 models could create a hundred thousand series. The
-   * largest keep separate counts, new ones get them, and no event is lost.
+   * largest series and new ones have separate counts, and no event is lost.
    */
   function mergeSmallestSeries(): void {
     const bySize = [...series.values()]
@@ -75,7 +75,7 @@
     for (const { entry } of bySize.slice(SERIES_COUNT_AFTER_MERGE)) {
       series.delete(seriesIdOf(entry));
       const key = { ...entry, organisation: REST, name: REST };
-      const mergedSeries = series.get(seriesIdOf(key)) ?? add(key);
+      const mergedSeries = series.get(seriesIdOf(key)) ?? addSeries(key);
       mergedSeries.window.addAll(entry.window);
     }
   }
@@ -130,27 +130,27 @@
 function createMinuteWindow(): MinuteWindow {
   const total = new Uint32Array(SLOW_MINUTES);
   const missed = new Uint32Array(SLOW_MINUTES);
-  let latest = currentMinute();
+  let latestMinute = currentMinute();
 
   /** Clears the slots of the minutes that began since the last call. */
   function advance(): void {
     const now = currentMinute();
-    const passed = Math.min(now - latest, SLOW_MINUTES);
-    for (let step = 1; step <= passed; step++) {
-      const slot = (now - passed + step) % SLOW_MINUTES;
+    const passedMinutes = Math.min(now - latestMinute, SLOW_MINUTES);
+    for (let step = 1; step <= passedMinutes; step++) {
+      const slot = (now - passedMinutes + step) % SLOW_MINUTES;
       total[slot] = 0;
       missed[slot] = 0;
     }
-    latest = Math.max(latest, now);
+    latestMinute = Math.max(latestMinute, now);
   }
 
   function countsAt(minutesAgo: number): EventCount {
-    const slot = (latest - minutesAgo) % SLOW_MINUTES;
+    const slot = (latestMinute - minutesAgo) % SLOW_MINUTES;
     return { total: total[slot] ?? 0, missed: missed[slot] ?? 0 };
   }
 
   function addCounts(minutesAgo: number, counts: EventCount): void {
-    const slot = (latest - minutesAgo) % SLOW_MINUTES;
+    const slot = (latestMinute - minutesAgo) % SLOW_MINUTES;
     total[slot] = (total[slot] ?? 0) + counts.total;
     missed[slot] = (missed[slot] ?? 0) + counts.missed;
   }
