--- a/packages/telemetry/src/event_catalogue.ts
+++ b/packages/telemetry/src/event_catalogue.ts
@@ -29,11 +29,11 @@
       fields: ["instance", "all_work_ended", "cut", "after_ms"],
     },
     settings_reloaded: {
-      says: "a changed settings file is valid; it applies after the next restart",
+      says: "a check on SIGHUP found the settings file valid; changes apply after the next restart",
       fields: ["instance"],
     },
     settings_kept: {
-      says: "a changed settings file is invalid; the running process is not affected",
+      says: "a check on SIGHUP found the settings file invalid; the running process is not affected",
       fields: ["reason"],
     },
     internal_error: {
@@ -141,7 +141,7 @@
       fields: ["request", "attempt", "delivered", "reason"],
     },
     move_broke: {
-      says: "the migration of an answer to other engines failed",
+      says: "the migration of an answer could not be prepared; the answer continues on its engines",
       fields: ["request", "reason"],
     },
     cache_imported: {
@@ -149,7 +149,7 @@
       fields: ["request", "attempt", "engine", "from", "bytes", "ms"],
     },
     cache_import_failed: {
-      says: "an import of KV cache failed; the prompt is processed again",
+      says: "an import of KV cache failed; the next attempt does not import from the engine in `from`",
       fields: ["request", "attempt", "engine", "from"],
     },
     service_call_ended: {
@@ -235,7 +235,7 @@
       fields: ["engine"],
     },
     load_failed: {
-      says: "weights could not be loaded",
+      says: "weights could not be loaded; the load is retried",
       fields: ["engine", "version", "kind", "reason"],
     },
   },
@@ -271,7 +271,7 @@
       fields: ["domain", "pipelines", "moved_megabytes", "took_ms"],
     },
     placement_short: {
-      says: "the engines of a domain lack capacity for a model",
+      says: "the engines of a domain lack capacity for a model, its spare pipeline or a further version",
       fields: ["domain", "model", "kind"],
     },
     lease_held: {
@@ -410,7 +410,7 @@
       fields: ["status", "revision"],
     },
     replaced_by_successor: {
-      says: "a newer process runs under this instance's name",
+      says: "peers report a later incarnation of this instance: a newer process, or an earlier one if the clock was set back",
       fields: ["incarnation", "address"],
     },
     datagram_dropped: {
