--- a/packages/release/src/head_follower.ts
+++ b/packages/release/src/head_follower.ts
@@ -7,16 +7,17 @@
 import { backoffMs } from "./backoff.ts";
 import { elapsedMs, type Moment, readMoment } from "./moment.ts";
 
-/** A watch that ends sooner, with nothing new, did not wait. */
-const QUICK_WATCH_MS = 1_000;
+/** A watch without changes should block for at least this long. */
+const MIN_WATCH_MS = 1_000;
 
 const log = createLogger("release");
 
-/** What the head object held; `null` before the first note. */
-export interface HeadNews {
+/** The result of one read of the head object. */
+export interface HeadRead {
+  /** The note in the head object; `null` before the first note. */
   readonly record: NoteRecord | null;
   /** When the read was started. */
-  readonly began: Moment;
+  readonly startedAt: Moment;
 }
 
 export interface HeadFollowerOptions {
@@ -25,43 +26,43 @@
   readonly signal: AbortSignal;
 }
 
-/** Reads the head object once; `null` if it cannot be read or understood. */
+/** Reads the head object once; `null` if it cannot be read or parsed. */
 export async function readHead(
   options: HeadFollowerOptions,
-): Promise<HeadNews | null> {
-  const began = readMoment();
+): Promise<HeadRead | null> {
+  const startedAt = readMoment();
   const result = await options.store.read(options.headKey, {
     signal: options.signal,
   });
   if (result.kind !== "ok") return null;
-  if (result.value === null) return { record: null, began };
+  if (result.value === null) return { record: null, startedAt };
   const record = parseHead(result.value.value);
-  return record && { record, began };
+  return record && { record, startedAt };
 }
 
 /** Watches the head object until the signal is aborted. */
 export async function followHead(
-  options: HeadFollowerOptions & { readonly take: (news: HeadNews) => void },
+  options: HeadFollowerOptions & { readonly onRead: (read: HeadRead) => void },
 ): Promise<void> {
   const { store, headKey, signal } = options;
   let since: Revision = 0;
   let failures = 0;
   while (!signal.aborted) {
-    const began = readMoment();
+    const startedAt = readMoment();
     const result = await store.watch(headKey, { since, signal });
     if (signal.aborted) return;
     if (result.kind === "ok") {
       const { objects, revision } = result.value;
       for (const { value } of objects) {
         const record = parseHead(value);
-        if (record) options.take({ record, began });
+        if (record) options.onRead({ record, startedAt });
       }
-      // A watch that returns at once with nothing new, over and over, shows
-      // as a busy loop that uses up the call budget; it counts as a failure.
-      const isSound = revision > since || elapsedMs(began) > QUICK_WATCH_MS;
+      // A watch that returns at once without changes counts as a failure.
+      // Otherwise the loop would spin and use up the store's call budget.
+      const isHealthy = revision > since || elapsedMs(startedAt) > MIN_WATCH_MS;
       since = revision;
-      failures = isSound ? 0 : failures + 1;
-      if (isSound) continue;
+      failures = isHealthy ? 0 : failures + 1;
+      if (isHealthy) continue;
     } else {
       failures += 1;
       log.detail("watch_failed", { reason: result.kind, failures });
--- a/packages/release/src/mod.ts
+++ b/packages/release/src/mod.ts
@@ -1,8 +1,8 @@
 /** The life of a release note: check, publish, spread, apply, confirm. */
-export * from "./allowed.ts";
+export * from "./answer_permission.ts";
 export * from "./confirmations.ts";
 export * from "./explain.ts";
-export * from "./fold.ts";
+export * from "./merge_note.ts";
 export * from "./moment.ts";
 export * from "./note_check.ts";
 export * from "./note_diff.ts";
