--- a/packages/schemas/src/peer.ts
+++ b/packages/schemas/src/peer.ts
@@ -1,19 +1,19 @@
-/** What instances tell one another; carried as JSON-RPC 2.0. */
+/** Messages between instances, sent as JSON-RPC 2.0. */
 import { z } from "zod";
 import { addressSchema, nameSchema, noteNumberSchema } from "./names.ts";
 import { claimObjectSchema, claimStateSchema } from "./stored.ts";
 
-/** The small state that each instance shares with its peers. */
+/** The state of an instance that it shares with its peers. */
 export const sharedStateSchema = z.object({
   /** Number of the note that the instance applies; 0 for none. */
   note: noteNumberSchema,
   draining: z.boolean(),
-  /** Answers and calls in progress. */
+  /** Number of answers and calls in progress. */
   load: z.number().int().nonnegative(),
 });
 export type SharedState = z.infer<typeof sharedStateSchema>;
 
-/** One instance as its peers know it. */
+/** The membership record of one instance. */
 export const memberRecordSchema = z.object({
   id: nameSchema,
   failureDomain: nameSchema,
@@ -22,7 +22,7 @@
   incarnation: z.number(),
   /** Grows each time the instance changes its shared state. */
   revision: z.number().int().nonnegative(),
-  /** Set when the instance has said goodbye. */
+  /** Whether the instance announced that it leaves. */
   left: z.boolean(),
   shared: sharedStateSchema,
 });
@@ -33,7 +33,7 @@
   /** Start of the owner's process that made the claim. */
   incarnation: z.number(),
   requestId: z.string(),
-  /** How long to wait for the end of a call that still runs. */
+  /** How long to wait for the end of a running call, in milliseconds. */
   waitMs: z.number().nonnegative(),
 });
 export type ClaimQuestion = z.infer<typeof claimQuestionSchema>;
@@ -41,7 +41,7 @@
 /** State of a call, as reported by the owner of its claim. */
 export const claimStatusSchema = z.discriminatedUnion("kind", [
   z.object({ kind: z.literal("running") }),
-  /** The call was not sent, and never will be under this claim. */
+  /** The call was not sent and will not be sent under this claim. */
   z.object({ kind: z.literal("never_sent") }),
   z.object({ kind: z.literal("settled"), state: claimStateSchema }),
   /** Another process made the claim, or its entry has been evicted. */
