--- a/packages/cli/src/commands/note_view.ts
+++ b/packages/cli/src/commands/note_view.ts
@@ -1,10 +1,10 @@
 /** Commands that show release notes and wait for them. */
 import {
+  type DisplayedNote,
+  displayedHistorySchema,
+  displayedNoteSchema,
   type NoteDiff,
   noteDiffSchema,
-  type ShownNote,
-  shownHistorySchema,
-  shownNoteSchema,
 } from "@rosemarypin/schemas";
 import { readCurrentNumber } from "../admin_client.ts";
 import type { Command } from "../command.ts";
@@ -31,7 +31,7 @@
       );
     }
     const path = `/v1/notes/${number}`;
-    const record = await context.admin.get(path, shownNoteSchema);
+    const record = await context.admin.get(path, displayedNoteSchema);
     show(context.output, record, { render: renderRecord });
     return exitCodes.ok;
   },
@@ -42,7 +42,7 @@
   summary: "list the latest notes, newest first",
   help: "Usage: rosemarypin note history [--json]",
   async run({ admin, output }) {
-    const { notes } = await admin.get("/v1/notes", shownHistorySchema);
+    const { notes } = await admin.get("/v1/notes", displayedHistorySchema);
     show(output, notes, { render: (rows) => renderHistory(output, rows) });
     return exitCodes.ok;
   },
@@ -104,7 +104,10 @@
   throw usageError(`'${word}' is no number of a note; see 'note history'`);
 }
 
-function renderHistory(output: Output, notes: readonly ShownNote[]): string {
+function renderHistory(
+  output: Output,
+  notes: readonly DisplayedNote[],
+): string {
   if (notes.length === 0) return "no notes yet";
   const rows = notes.map(({ number, note, recordedAt }) => [
     number,
@@ -116,7 +119,7 @@
   return table(output, { titles, rows });
 }
 
-function renderRecord({ number, note, recordedBy }: ShownNote): string {
+function renderRecord({ number, note, recordedBy }: DisplayedNote): string {
   const lines = [
     ...note.added.map((line) => `  + ${describeLine(line)}`),
     ...note.changed.map((line) => `  ~ ${describeLine(line)}`),
--- a/packages/daemon/src/answer_request.ts
+++ b/packages/daemon/src/answer_request.ts
@@ -5,7 +5,7 @@
   type AnswerRequest,
   chatRequestSchema,
   completionRequestSchema,
-  LARGEST_MESSAGE_COUNT,
+  MAX_MESSAGE_COUNT,
   type Organisation,
   type Priority,
   prioritySchema,
@@ -50,7 +50,7 @@
   const json = parseJson(body);
   if (json === undefined) return invalid("the body is not JSON in UTF-8");
   if (hasTooManyMessages(json)) {
-    return invalid(`messages: expected at most ${LARGEST_MESSAGE_COUNT}`);
+    return invalid(`messages: expected at most ${MAX_MESSAGE_COUNT}`);
   }
   if (style === "chat") {
     const parsed = chatRequestSchema.safeParse(json);
@@ -134,7 +134,7 @@
  */
 function hasTooManyMessages(json: unknown): boolean {
   const { messages } = (json ?? {}) as { readonly messages?: unknown };
-  return Array.isArray(messages) && messages.length > LARGEST_MESSAGE_COUNT;
+  return Array.isArray(messages) && messages.length > MAX_MESSAGE_COUNT;
 }
 
 function explain(error: z.ZodError): string {
--- a/packages/daemon/src/instance_levels.ts
+++ b/packages/daemon/src/instance_levels.ts
@@ -1,6 +1,6 @@
 /** What this instance counts towards its service levels. */
 import type { NoteKeeper } from "@rosemarypin/release";
-import { ALL, type Settings } from "@rosemarypin/schemas";
+import { type Settings, WHOLE_INSTANCE_NAME } from "@rosemarypin/schemas";
 import {
   createServiceLevels,
   type ServiceLevelCounter,
@@ -42,6 +42,13 @@
     highest = number;
     if (recordedAt < startedAt) return;
     const met = Date.now() - recordedAt <= objectives.noteInForceMs;
-    levels.count({ objective: "note", organisation: ALL, name: ALL }, met);
+    levels.count(
+      {
+        objective: "note",
+        organisation: WHOLE_INSTANCE_NAME,
+        name: WHOLE_INSTANCE_NAME,
+      },
+      met,
+    );
   });
 }
--- a/packages/gateway/src/operators/release_history.ts
+++ b/packages/gateway/src/operators/release_history.ts
@@ -2,7 +2,7 @@
  * History of applied configurations as release notes: what each one added,
  * changed and withdrew compared with its predecessor.
  */
-import type { ShownNote } from "@rosemarypin/schemas";
+import type { DisplayedNote } from "@rosemarypin/schemas";
 import type { Configuration, Organisation } from "../configuration.ts";
 
 /** Notes that are kept in memory; older ones are only in the logs. */
@@ -11,7 +11,7 @@
 const MAX_LINES_PER_PART = 100;
 
 /** A line of a note, such as a route with its changed attributes. */
-export type NoteLine = ShownNote["note"]["added"][number];
+export type NoteLine = DisplayedNote["note"]["added"][number];
 
 /** A part of a configuration that notes describe. */
 interface ConfigurationItem {
@@ -25,8 +25,8 @@
   /** Adds a note for a configuration that has come into force. */
   record(configuration: Configuration): void;
   /** All kept notes, newest first. */
-  notes(): readonly ShownNote[];
-  find(number: number): ShownNote | null;
+  notes(): readonly DisplayedNote[];
+  find(number: number): DisplayedNote | null;
   /**
    * The latest line about an item, as the number of its note and its position
    * there, such as `changed[2]`.
@@ -39,7 +39,7 @@
 
 /** Creates the history of one instance. */
 export function createReleaseHistory(instance: string): ReleaseHistory {
-  let notes: readonly ShownNote[] = [];
+  let notes: readonly DisplayedNote[] = [];
   let lastItems: ReadonlyMap<string, ConfigurationItem> = new Map();
 
   return {
@@ -48,7 +48,7 @@
       const note = compareItems(lastItems, items);
       const supersedes = notes[0]?.number ?? 0;
       lastItems = items;
-      const record: ShownNote = {
+      const record: DisplayedNote = {
         number: configuration.version,
         recordedAt: Date.now(),
         recordedBy: instance,
@@ -75,7 +75,7 @@
 function compareItems(
   before: ReadonlyMap<string, ConfigurationItem>,
   after: ReadonlyMap<string, ConfigurationItem>,
-): Pick<ShownNote["note"], "added" | "changed" | "withdrawn"> {
+): Pick<DisplayedNote["note"], "added" | "changed" | "withdrawn"> {
   const added: NoteLine[] = [];
   const changed: NoteLine[] = [];
   const withdrawn: NoteLine[] = [];
--- a/packages/reports/src/burn.ts
+++ b/packages/reports/src/burn.ts
@@ -4,8 +4,8 @@
   eventCountSchema,
   type LevelSeries,
   type Objective,
+  OTHER_SERIES_NAME,
   objectiveSchema,
-  REST,
   type ServiceLevels,
 } from "@rosemarypin/schemas";
 import { z } from "zod";
@@ -122,7 +122,7 @@
   const [first] = all;
   if (!first) return [];
   const named = all
-    .filter(({ organisation }) => organisation !== REST)
+    .filter(({ organisation }) => organisation !== OTHER_SERIES_NAME)
     .sort(
       (a, b) => b.slow.missed - a.slow.missed || b.slow.total - a.slow.total,
     );
@@ -130,7 +130,11 @@
   const others = all.filter((entry) => !shown.includes(entry));
   if (others.length === 0) return shown;
   const { objective } = first;
-  const key = { objective, organisation: REST, name: REST };
+  const key = {
+    objective,
+    organisation: OTHER_SERIES_NAME,
+    name: OTHER_SERIES_NAME,
+  };
   return [...shown, sumSeries(others, key)];
 }
 
--- a/packages/schemas/src/admin.ts
+++ b/packages/schemas/src/admin.ts
@@ -50,7 +50,7 @@
  * A note as it is displayed, from either source: published by operators here,
  * or converted from a configuration of the platform.
  */
-export const shownNoteSchema = z.looseObject({
+export const displayedNoteSchema = z.looseObject({
   number: noteNumberSchema,
   recordedAt: z.number(),
   recordedBy: nameSchema,
@@ -63,11 +63,11 @@
     withdrawn: z.array(shownLineSchema),
   }),
 });
-export type ShownNote = z.infer<typeof shownNoteSchema>;
+export type DisplayedNote = z.infer<typeof displayedNoteSchema>;
 
 /** Notes as they are displayed, newest first. */
-export const shownHistorySchema = z.object({
-  notes: z.array(shownNoteSchema),
+export const displayedHistorySchema = z.object({
+  notes: z.array(displayedNoteSchema),
 });
 
 /** One instance, as the answering instance sees it. */
--- a/packages/schemas/src/completion.ts
+++ b/packages/schemas/src/completion.ts
@@ -16,11 +16,11 @@
 };
 
 /** Maximum number of messages in one request. */
-export const LARGEST_MESSAGE_COUNT = 256;
+export const MAX_MESSAGE_COUNT = 256;
 
 export const chatRequestSchema = z.object({
   ...commonShape,
-  messages: z.array(chatMessageSchema).min(1).max(LARGEST_MESSAGE_COUNT),
+  messages: z.array(chatMessageSchema).min(1).max(MAX_MESSAGE_COUNT),
 });
 export type ChatRequest = z.infer<typeof chatRequestSchema>;
 
--- a/packages/schemas/src/service_levels.ts
+++ b/packages/schemas/src/service_levels.ts
@@ -23,10 +23,10 @@
 export type EventCount = z.infer<typeof eventCountSchema>;
 
 /** Organisation and name of the series for events without their own series. */
-export const REST = "(rest)";
+export const OTHER_SERIES_NAME = "(rest)";
 
 /** Organisation and name of the series of events of the whole instance. */
-export const ALL = "(all)";
+export const WHOLE_INSTANCE_NAME = "(all)";
 
 /** Event counts of one organisation and one model or service. */
 export const levelSeriesSchema = z.object({
--- a/packages/telemetry/src/service_levels.ts
+++ b/packages/telemetry/src/service_levels.ts
@@ -3,8 +3,8 @@
   type EventCount,
   type LevelSeries,
   type Objective,
+  OTHER_SERIES_NAME,
   objectiveSchema,
-  REST,
   type ServiceLevels,
 } from "@rosemarypin/schemas";
 
@@ -69,12 +69,16 @@
    */
   function mergeSmallestSeries(): void {
     const bySize = [...series.values()]
-      .filter(({ organisation }) => organisation !== REST)
+      .filter(({ organisation }) => organisation !== OTHER_SERIES_NAME)
       .map((entry) => ({ entry, size: entry.window.sum(SLOW_MINUTES).total }))
       .sort((a, b) => b.size - a.size);
     for (const { entry } of bySize.slice(SERIES_COUNT_AFTER_MERGE)) {
       series.delete(seriesIdOf(entry));
-      const key = { ...entry, organisation: REST, name: REST };
+      const key = {
+        ...entry,
+        organisation: OTHER_SERIES_NAME,
+        name: OTHER_SERIES_NAME,
+      };
       const mergedSeries = series.get(seriesIdOf(key)) ?? addSeries(key);
       mergedSeries.window.addAll(entry.window);
     }
--- a/packages/telemetry/src/service_levels_test.ts
+++ b/packages/telemetry/src/service_levels_test.ts
@@ -1,4 +1,4 @@
-import { REST } from "@rosemarypin/schemas";
+import { OTHER_SERIES_NAME } from "@rosemarypin/schemas";
 import { afterEach, beforeEach, describe, expect, it, vi } from "vitest";
 import { createServiceLevels } from "./service_levels.ts";
 
@@ -80,6 +80,8 @@
     expect(total).toBe(20_000);
     const kano = series.find(({ organisation }) => organisation === "kano");
     expect(kano?.slow).toEqual({ total: 10_000, missed: 5_000 });
-    expect(series.some(({ organisation }) => organisation === REST)).toBe(true);
+    expect(
+      series.some(({ organisation }) => organisation === OTHER_SERIES_NAME),
+    ).toBe(true);
   });
 });
